--- a/crates/broker/src/coming.rs
+++ b/crates/broker/src/coming.rs
@@ -1,7 +1,7 @@
 //! How the broker comes back, as a part of its turns: see `plover_recovery`, which decides it.
 
 use crate::parts::{Entry, Part, Told, View, Want};
-use plover_model::query::Ask;
+use plover_model::query::QueryRequest;
 use plover_model::time::{MILLI, Micros};
 use plover_operator_file::ComeBack;
 use plover_ops::Census;
@@ -52,7 +52,7 @@
         self.0.as_ref().and_then(|coming| coming.due(view.has_list()))
     }
 
-    fn entry(&mut self, _now: Micros, _ask: &Ask) -> Entry {
+    fn entry(&mut self, _now: Micros, _ask: &QueryRequest) -> Entry {
         if self.0.as_mut().is_none_or(Coming::admits) { Entry::In } else { Entry::Refused }
     }
 
@@ -120,14 +120,14 @@
             cell: 0,
             state: NodeState::Serving,
             zone: None,
-            started: None,
+            started_at: None,
         };
         let mut core = Core::new(settings(), 10, 1);
         let queries = Queries::new(&settings(), &Default::default(), 10, 1, 0);
         let mut way = WayBack(Some(Coming::new(0, TIMES, 0.0)));
         told(&mut way, 1, Told::Heard(View { core: &core, queries: &queries, rev: 0 }));
         assert_eq!(way.due(1, View { core: &core, queries: &queries, rev: 0 }), None);
-        core.learn(ListScope::Whole, (0..1000).map(server).collect());
+        core.update_servers(ListScope::Complete, (0..1000).map(server).collect());
         core.tick(2);
         let view = View { core: &core, queries: &queries, rev: 0 };
         let asking = measure(|| assert_eq!(way.due(2, view), Some(11)));
--- a/crates/broker/src/front/door.rs
+++ b/crates/broker/src/front/door.rs
@@ -14,7 +14,7 @@
 use plover_admission::descriptors::{DOOR_PARTING, DOOR_SEATS};
 use plover_http1::{Limits, Reader, RequestDecoder, Step, encode_response};
 use plover_ops::{BadCall, Call, decode};
-use plover_query::{Response, plain};
+use plover_query::{Response, plain_text};
 use plover_runtime::clock::limited;
 use plover_runtime::net::{LINGER, read_some};
 use std::io::{self, Write};
@@ -52,7 +52,7 @@
     }
 
     fn turn_away(&self, stream: &Async<TcpStream>) {
-        let bytes = encode_response(&self.shared.dated(plain(503, "", "too many callers")), LAST);
+        let bytes = encode_response(&self.shared.dated(plain_text(503, "", "too many callers")), LAST);
         let _ = stream.get_ref().set_nodelay(true);
         let _ = stream.get_ref().write(&bytes);
         let _ = stream.get_ref().shutdown(Shutdown::Write);
@@ -96,7 +96,7 @@
                 match decoder.step(input) {
                     Ok(Step::Whole(message)) => return Ok(Ok(message.value)),
                     Ok(Step::More(_)) => {}
-                    Err(fault) => return Ok(Err(plain(fault.status(), "", fault.why()))),
+                    Err(fault) => return Ok(Err(plain_text(fault.status(), "", fault.why()))),
                 }
                 if read_some(stream, input).await? == 0 {
                     return Err(io::ErrorKind::UnexpectedEof.into());
@@ -111,7 +111,7 @@
             // Its seat is wanted, or its time is over: what the socket takes at once is all that it is told, since a seat
             // that waited for it to go would be held by it still.
             Err(e) if e.kind() == io::ErrorKind::TimedOut => {
-                let late = plain(408, "", "the call did not come in time");
+                let late = plain_text(408, "", "the call did not come in time");
                 let _ = stream.get_ref().write(&encode_response(&self.shared.dated(late), LAST));
                 Err(e)
             }
@@ -125,12 +125,12 @@
         self.shared.inbox.put(Input::Operator(call, sender));
         let answer = async { receiver.recv().await.map_err(io::Error::other) };
         match limited(TURN_TIME, answer).await {
-            Ok((status, text)) => plain(status, "", &text),
-            Err(_) => plain(503, "", "no turn in time"),
+            Ok((status, text)) => plain_text(status, "", &text),
+            Err(_) => plain_text(503, "", "no turn in time"),
         }
     }
 }
 
 fn bad_call(bad: BadCall) -> Response {
-    plain(bad.status(), bad.allow(), bad.why())
+    plain_text(bad.status(), bad.allow(), bad.why())
 }
--- a/crates/broker/src/front/http1.rs
+++ b/crates/broker/src/front/http1.rs
@@ -10,7 +10,7 @@
 use plover_admission::Connection;
 use plover_http1::{Fault, Limits, Message, Reader, RequestDecoder, Step, encode_response};
 use plover_model::query::Reply;
-use plover_query::{BODY_CAP, HEAD_CAP, Response, Routed, final_answer, refuse_connection};
+use plover_query::{MAX_BODY_LENGTH, MAX_HEAD_LENGTH, Response, Routed, connection_refusal, encode_reply};
 use plover_runtime::clock::limited;
 use plover_runtime::net::{LINGER, read_some};
 use std::io::{self, Write};
@@ -27,12 +27,12 @@
 /// The same, once the broker has been emptied.
 const SILENCE_EMPTY: Duration = Duration::from_millis(500);
 /// How much is kept of what is sent ahead while an answer is awaited.
-const AHEAD: usize = HEAD_CAP;
+const AHEAD: usize = MAX_HEAD_LENGTH;
 /// Requests that a client sent ahead are answered on its connection after the program's doors have closed, but no more
 /// than this, so that one that never stops does not keep the program.
 const LAST_ONES: usize = 16;
 /// What a request may take.
-const LIMITS: Limits = Limits { head: HEAD_CAP, body: BODY_CAP };
+const LIMITS: Limits = Limits { head: MAX_HEAD_LENGTH, body: MAX_BODY_LENGTH };
 
 /// The front of HTTP/1.1.
 pub struct Http1 {
@@ -83,7 +83,7 @@
     }
 
     fn turn_away(&self, stream: &Async<TcpStream>) {
-        let response = self.shared.dated(refuse_connection(&self.shared.terms.borrow()));
+        let response = self.shared.dated(connection_refusal(&self.shared.terms.borrow()));
         let _ = stream.get_ref().set_nodelay(true);
         let _ = stream.get_ref().write(&encode_response(&response, LAST));
         let _ = stream.get_ref().shutdown(Shutdown::Write);
@@ -262,12 +262,12 @@
             }
         };
         let reply = reply.or(gone).await?;
-        Ok((final_answer(&reply), !matches!(reply, Reply::Bad { .. }), cut))
+        Ok((encode_reply(&reply), !matches!(reply, Reply::Bad { .. }), cut))
     }
 
     /// Answers a request whose framing is lost, and ends its connection.
     async fn reject(&self, stream: &Async<TcpStream>, status: u16, why: &str) -> io::Result<End> {
-        let response = final_answer(&Reply::Bad { status, why: why.to_owned() });
+        let response = encode_reply(&Reply::Bad { status, why: why.to_owned() });
         write(stream, &encode_response(&self.shared.dated(response), LAST)).await?;
         Ok(End::Over(LINGER))
     }
--- a/crates/broker/src/front/http2/mod.rs
+++ b/crates/broker/src/front/http2/mod.rs
@@ -22,7 +22,7 @@
 use plover_http1::{Reader, encode_response};
 use plover_model::query::Reply;
 use plover_model::time::{Micros, SECOND};
-use plover_query::{BODY_CAP, final_answer};
+use plover_query::{MAX_BODY_LENGTH, encode_reply};
 use plover_runtime::clock::{Clock, limited, span};
 use plover_runtime::net::{LINGER, read_some};
 use std::cell::Cell;
@@ -47,7 +47,7 @@
 const HEARD: Micros = SECOND / 2;
 /// Window of a stream: a body as long as any that is taken fits, so that it need not be given back in between, and
 /// one that is longer shows.
-const STREAM_WINDOW: u32 = BODY_CAP as u32 + 1024;
+const STREAM_WINDOW: u32 = MAX_BODY_LENGTH as u32 + 1024;
 /// Most of an answer that waits in the library, beside what its own slice is.
 const SEND_BUFFER: usize = 32 * 1024;
 /// How long, and how many, streams that were reset are remembered for, so that what crosses the reset is no error.
@@ -135,7 +135,7 @@
     async fn refuse(&self, stream: &Async<TcpStream>, violation: Violation) -> std::io::Result<()> {
         if violation == Violation::Http1 {
             let why = "this port speaks HTTP/2 by prior knowledge (RFC 9113, section 3.3)".to_owned();
-            let reply = self.shared.dated(final_answer(&Reply::Bad { status: 400, why }));
+            let reply = self.shared.dated(encode_reply(&Reply::Bad { status: 400, why }));
             let reader = Reader { version: Version::HTTP_11, head_only: false, keep_alive: false };
             let bytes = encode_response(&reply, reader);
             limited(span(LAST_WORDS), (&*stream).write_all(&bytes)).await?;
--- a/crates/broker/src/front/http2/stream.rs
+++ b/crates/broker/src/front/http2/stream.rs
@@ -10,7 +10,7 @@
 use http::{Method, Request, Response};
 use plover_admission::Connection;
 use plover_model::query::Reply;
-use plover_query::{BODY_CAP, Routed, final_answer};
+use plover_query::{MAX_BODY_LENGTH, Routed, encode_reply};
 use plover_runtime::clock::{limited, span};
 use std::future::poll_fn;
 use std::io;
@@ -56,7 +56,7 @@
                 match shared.route(&request) {
                     Routed::Answered { response, usable } => (response, usable, begun + MESSAGE_TIME),
                     Routed::Query(ask) => {
-                        let until = begun + span(ask.patience);
+                        let until = begun + span(ask.client_timeout);
                         // The connection reads when its streams have been looked at: a reset shows with the second look.
                         let ticket = shared.inbox.ask(connection, ask, 2);
                         // The client's reset drops the ticket, and so tells the turn loop in time for its next turn.
@@ -66,7 +66,7 @@
                             None
                         };
                         let Some(reply) = reply.or(gone).await else { return End::Reset(true) };
-                        (final_answer(&reply), !matches!(reply, Reply::Bad { .. }), until)
+                        (encode_reply(&reply), !matches!(reply, Reply::Bad { .. }), until)
                     }
                 }
             }
@@ -100,7 +100,7 @@
 }
 
 fn bad(status: u16, why: &str) -> plover_query::Response {
-    final_answer(&Reply::Bad { status, why: why.to_owned() })
+    encode_reply(&Reply::Bad { status, why: why.to_owned() })
 }
 
 /// The length that a request declares. Whether its DATA keeps to it is checked by the library.
@@ -116,14 +116,14 @@
 /// Reads the body. Its window is given back once it is whole, so that all bodies on their way together stay within
 /// the connection's.
 async fn read_body(body: &mut RecvStream, declared: Option<u64>) -> io::Result<Body> {
-    if declared.is_some_and(|length| length > BODY_CAP as u64) {
+    if declared.is_some_and(|length| length > MAX_BODY_LENGTH as u64) {
         return Ok(Body::TooLong);
     }
     let mut bytes = Vec::new();
     while let Some(data) =
         limited(SILENCE, async { body.data().await.transpose().map_err(io::Error::other) }).await?
     {
-        if bytes.len() + data.len() > BODY_CAP {
+        if bytes.len() + data.len() > MAX_BODY_LENGTH {
             return Ok(Body::TooLong);
         }
         bytes.extend_from_slice(&data);
--- a/crates/broker/src/front/mod.rs
+++ b/crates/broker/src/front/mod.rs
@@ -25,7 +25,7 @@
 use plover_admission::{Connection, budget};
 use plover_model::time::Micros;
 use plover_ops::Stage;
-use plover_query::{Changing, Response, Routed, Terms, date, route};
+use plover_query::{RequestConfig, RequestConfigHistory, Response, Routed, date_header, route};
 use plover_runtime::clock::Clock;
 use plover_runtime::net;
 use std::cell::{Cell, RefCell};
@@ -38,7 +38,7 @@
     inbox: Rc<Inbox>,
     clock: Clock,
     /// What requests are read by.
-    terms: RefCell<Changing>,
+    terms: RefCell<RequestConfigHistory>,
     stage: Cell<Stage>,
     /// Closed, and replaced, when the stage changes.
     moved: RefCell<(Sender<()>, Receiver<()>)>,
@@ -49,9 +49,9 @@
 
 impl Shared {
     /// For a program that serves.
-    pub fn new(inbox: Rc<Inbox>, clock: Clock, terms: Terms) -> Rc<Self> {
-        let terms = RefCell::new(Changing::new(terms));
-        let date = RefCell::new((Instant::now(), date(SystemTime::now())));
+    pub fn new(inbox: Rc<Inbox>, clock: Clock, terms: RequestConfig) -> Rc<Self> {
+        let terms = RefCell::new(RequestConfigHistory::new(terms));
+        let date = RefCell::new((Instant::now(), date_header(SystemTime::now())));
         let (stage, connections) = (Cell::new(Stage::Serving), Cell::new(0));
         let moved = RefCell::new(async_channel::bounded(1));
         Rc::new(Shared { inbox, clock, terms, stage, moved, connections, date })
@@ -86,7 +86,7 @@
     fn dated(&self, mut response: Response) -> Response {
         let mut current = self.date.borrow_mut();
         if current.0.elapsed() >= Duration::from_secs(1) {
-            *current = (Instant::now(), date(SystemTime::now()));
+            *current = (Instant::now(), date_header(SystemTime::now()));
         }
         response.headers_mut().insert(DATE, current.1.clone());
         response
@@ -198,7 +198,7 @@
     }
 
     /// Takes other terms, told at this moment.
-    pub fn change(&self, at: Micros, terms: Terms) {
+    pub fn change(&self, at: Micros, terms: RequestConfig) {
         self.shared.terms.borrow_mut().change(at, terms);
     }
 
--- a/crates/broker/src/front/tests.rs
+++ b/crates/broker/src/front/tests.rs
@@ -14,7 +14,7 @@
 /// and new connections were not taken meanwhile.
 #[test]
 fn accepting_goes_on_where_one_that_was_to_make_room_stays() {
-    let shared = Shared::new(Rc::default(), Clock::start(), Terms::default());
+    let shared = Shared::new(Rc::default(), Clock::start(), RequestConfig::default());
     let executor = Rc::new(LocalExecutor::new());
     let front = Rc::new(Http1::new(shared, 2));
     let seats: Rc<Seats> = accept::Serve::seats(&*front).clone();
@@ -49,7 +49,7 @@
 
 impl Rig {
     fn new(seats: usize) -> Rig {
-        let shared = Shared::new(Rc::default(), Clock::start(), Terms::default());
+        let shared = Shared::new(Rc::default(), Clock::start(), RequestConfig::default());
         let executor = Rc::new(LocalExecutor::new());
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
         let to = listener.get_ref().local_addr().unwrap();
@@ -194,7 +194,7 @@
     let names = Names { classes: vec!["lookup".to_owned()], ..Names::default() };
     let routes = Operator::default().routes(&names.classes);
     *rig.shared.terms.borrow_mut() =
-        Changing::new(Terms { names, settings: Some(crate::rig::settings()), routes });
+        RequestConfigHistory::new(RequestConfig { names, settings: Some(crate::rig::settings()), routes });
     rig.shared.set_stage(Stage::Leaving);
     rig.run(async {
         let client = rig.connect();
--- a/crates/broker/src/hand_over.rs
+++ b/crates/broker/src/hand_over.rs
@@ -5,7 +5,7 @@
 use crate::parts::{Entry, Part, Told, View, Want};
 use plover_handover::wire::Word;
 use plover_handover::{Keyed, Neighbours, News};
-use plover_model::query::Ask;
+use plover_model::query::QueryRequest;
 use plover_model::time::Micros;
 use plover_runtime::clock::Clock;
 use std::time::Duration;
@@ -99,9 +99,9 @@
     }
 
     /// One of a keyed class waits where a process that has just come is about to say who it is.
-    fn entry(&mut self, now: Micros, ask: &Ask) -> Entry {
+    fn entry(&mut self, now: Micros, ask: &QueryRequest) -> Entry {
         let known = &self.sockets.known;
-        let soon = ask.key.is_some() && !known.is_settled() && known.keyed(now) != Keyed::May;
+        let soon = ask.idempotency_key.is_some() && !known.is_settled() && known.keyed(now) != Keyed::May;
         if soon { Entry::Later } else { Entry::In }
     }
 
--- a/crates/broker/src/inbox/tests.rs
+++ b/crates/broker/src/inbox/tests.rs
@@ -3,17 +3,17 @@
 use futures_lite::future::{block_on, pending, poll_once};
 use std::task::Poll;
 
-fn ask() -> Ask {
-    Ask {
+fn ask() -> QueryRequest {
+    QueryRequest {
         id: "a".into(),
         class: 0,
         tenant: 0,
-        patience: 1,
+        client_timeout: 1,
         parts: Vec::new(),
-        key: None,
-        text: "t".into(),
+        idempotency_key: None,
+        predicate: "t".into(),
         limits: Default::default(),
-        again: false,
+        is_retry: false,
     }
 }
 
--- a/crates/broker/src/list.rs
+++ b/crates/broker/src/list.rs
@@ -40,7 +40,7 @@
             let endpoint = target.endpoint.filter(|_| server.state == NodeState::Serving);
             upstream.learn(now, server.name.clone(), endpoint);
         }
-        core.learn(scope, servers);
+        core.update_servers(scope, servers);
     }
 
     /// Takes from what the process before this one knew which servers were leaving, where its list was no older.
@@ -51,7 +51,7 @@
         let leaves: BTreeSet<&str> =
             recall.servers.iter().filter(|s| s.leaving).map(|s| s.name.as_str()).collect();
         let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-        let views = core.views(now, |_| Some(nowhere)).into_iter();
+        let views = core.server_statuses(now, |_| Some(nowhere)).into_iter();
         let drains = views.filter(|v| v.state == NodeState::Serving && leaves.contains(&*v.name.0));
         let drains: Vec<ServerInfo> = drains
             .map(|v| ServerInfo {
@@ -59,10 +59,10 @@
                 cell: v.cell,
                 state: NodeState::Draining,
                 zone: v.zone,
-                started: None,
+                started_at: None,
             })
             .collect();
         drains.iter().for_each(|s| upstream.learn(now, s.name.clone(), None));
-        core.learn(ListScope::Changes, drains);
+        core.update_servers(ListScope::Changes, drains);
     }
 }
--- a/crates/broker/src/parts.rs
+++ b/crates/broker/src/parts.rs
@@ -10,7 +10,7 @@
 use plover_core::Core;
 use plover_handover::Neighbours;
 use plover_handover::wire::Word;
-use plover_model::query::Ask;
+use plover_model::query::QueryRequest;
 use plover_model::recall::Recall;
 use plover_model::time::Micros;
 use plover_ops::Census;
@@ -90,7 +90,7 @@
     fn due(&self, now: Micros, view: View<'_>) -> Option<Micros>;
 
     /// Whether a query is let in.
-    fn entry(&mut self, _now: Micros, _ask: &Ask) -> Entry {
+    fn entry(&mut self, _now: Micros, _ask: &QueryRequest) -> Entry {
         Entry::In
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// Whether a query is let in: the first part that does not let it in has the say, and those behind are not asked.
-    pub(crate) fn entry(&mut self, now: Micros, ask: &Ask) -> Entry {
+    pub(crate) fn entry(&mut self, now: Micros, ask: &QueryRequest) -> Entry {
         let entries = self.0.iter_mut().map(|part| part.entry(now, ask));
         entries.into_iter().find(|entry| *entry != Entry::In).unwrap_or(Entry::In)
     }
@@ -171,23 +171,23 @@
     use std::hint::black_box;
     use std::rc::Rc;
 
-    fn ask() -> Ask {
-        Ask {
+    fn ask() -> QueryRequest {
+        QueryRequest {
             id: "a".into(),
             class: 0,
             tenant: 0,
-            patience: 1,
+            client_timeout: 1,
             parts: Vec::new(),
-            key: Some(Rc::from("k")),
-            text: Rc::from("t"),
+            idempotency_key: Some(Rc::from("k")),
+            predicate: Rc::from("t"),
             limits: Default::default(),
-            again: false,
+            is_retry: false,
         }
     }
 
     /// All that a turn with one query says to parts and asks of them.
     #[inline(never)]
-    fn seam_of_a_turn(parts: &mut Parts, now: Micros, view: View<'_>, ask: &Ask) -> Option<Micros> {
+    fn seam_of_a_turn(parts: &mut Parts, now: Micros, view: View<'_>, ask: &QueryRequest) -> Option<Micros> {
         let told = [
             Told::Begin(view),
             Told::List,
@@ -216,7 +216,7 @@
         fn due(&self, now: Micros, _view: View<'_>) -> Option<Micros> {
             Some(now)
         }
-        fn entry(&mut self, _now: Micros, _ask: &Ask) -> Entry {
+        fn entry(&mut self, _now: Micros, _ask: &QueryRequest) -> Entry {
             Entry::Refused
         }
     }
@@ -229,7 +229,7 @@
         fn due(&self, now: Micros, _view: View<'_>) -> Option<Micros> {
             Some(now + 1)
         }
-        fn entry(&mut self, _now: Micros, _ask: &Ask) -> Entry {
+        fn entry(&mut self, _now: Micros, _ask: &QueryRequest) -> Entry {
             Entry::Later
         }
     }
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -9,7 +9,7 @@
 use plover_handover::wire::{Whose, Word};
 use plover_handover::{Keyed, Neighbours};
 use plover_limits::{Gate, Permit};
-use plover_model::query::{Ask, AttemptId, Names, Proof, QueryId, Reply};
+use plover_model::query::{AttemptId, Names, Proof, QueryId, QueryRequest, Reply};
 use plover_model::server::Outcome;
 use plover_model::time::{Micros, millis};
 use plover_ops::{Books, Census, End, Row};
@@ -26,7 +26,7 @@
     row: Row,
     connection: Connection,
     permit: Permit,
-    ask: Ask,
+    ask: QueryRequest,
     /// Its key, in a class that has them registered, and for how long its repeats are dropped.
     key: Option<(Key, Micros)>,
     client: Client,
@@ -46,7 +46,7 @@
 }
 
 /// The room that a query takes: itself and its parts.
-fn units(ask: &Ask) -> usize {
+fn units(ask: &QueryRequest) -> usize {
     1 + ask.parts.len()
 }
 
@@ -85,7 +85,7 @@
     }
 }
 
-fn opened(ask: &Ask, permit: &Permit) -> Word {
+fn opened(ask: &QueryRequest, permit: &Permit) -> Word {
     let owner = permit.owner().map(|owner| owner.as_ref().to_owned());
     Word::Opened { id: ask.id.as_ref().to_owned(), units: units(ask) as u32, owner }
 }
@@ -252,13 +252,13 @@
     }
 
     /// The key of a query whose class has them registered, and for how long its repeats are dropped.
-    fn key_of(&self, ask: &Ask) -> Option<(Key, Micros)> {
+    fn key_of(&self, ask: &QueryRequest) -> Option<(Key, Micros)> {
         let window = self.windows.get(ask.class).copied().flatten()?;
         let name = |names: &[String], i: usize| names.get(i).cloned().unwrap_or_default();
         let (tenant, class) = (name(&self.names.tenants, ask.tenant), name(&self.names.classes, ask.class));
         // No name that a header can carry holds the zero between them.
         let owner = format!("{tenant}\0{class}").into();
-        Some((Key { text: ask.key.clone()?, owner }, window))
+        Some((Key { text: ask.idempotency_key.clone()?, owner }, window))
     }
 
     /// Those that have ended since the last time.
@@ -313,7 +313,7 @@
     }
 
     /// Refuses a query at once, while this broker comes back.
-    pub(crate) fn turn_away(&mut self, ask: &Ask, client: &Client) {
+    pub(crate) fn turn_away(&mut self, ask: &QueryRequest, client: &Client) {
         let row = self.rows[ask.class];
         self.books.take(row);
         self.books.end(row, End::Declined);
@@ -326,7 +326,7 @@
         now: Micros,
         id: QueryId,
         connection: Connection,
-        ask: Ask,
+        ask: QueryRequest,
         client: Client,
         beside: Beside<'_>,
     ) -> Option<Query> {
@@ -363,7 +363,7 @@
                 return answered(Reply::Refused { retry_after });
             }
         };
-        let give_up_at = now + ask.patience;
+        let give_up_at = now + ask.client_timeout;
         if let Some((key, window)) = &keyed {
             let shards = ask.parts.iter().map(|p| p.shard);
             // What another process may be sending unknown to us counts as this key's.
@@ -393,7 +393,7 @@
             tenant: ask.tenant,
             give_up_at,
             limits: ask.limits.clone(),
-            again: ask.again,
+            again: ask.is_retry,
             parts: ask.parts.clone(),
         };
         let span = debug_span!("query", query = id, connection, id = %ask.id);
@@ -464,10 +464,10 @@
             }
             by = self.repeats.until(key, part.shard).unwrap_or(by);
             if let Some(words) = &mut self.words {
-                let heard = Heard::Sent { shard: part.shard, at: now, until: d.until };
+                let heard = Heard::Sent { shard: part.shard, at: now, until: d.deadline };
                 words.push(word(key, Some(*window), heard, self.origin));
             }
-            self.repeats.sent(now, key, part.shard, d.until);
+            self.repeats.sent(now, key, part.shard, d.deadline);
             self.keyed.insert(d.attempt, (key.clone(), *window, part.shard));
         }
         pending.span.in_scope(
@@ -476,11 +476,11 @@
         Ok(Send {
             attempt: d.attempt,
             server: d.server,
-            until: d.until,
+            until: d.deadline,
             by,
             part: PartId { request: pending.ask.id.clone(), shard: part.shard },
-            key: pending.ask.key.clone(),
-            text: pending.ask.text.clone(),
+            key: pending.ask.idempotency_key.clone(),
+            text: pending.ask.predicate.clone(),
             client: pending.client.presence().clone(),
         })
     }
--- a/crates/broker/src/queries/tests.rs
+++ b/crates/broker/src/queries/tests.rs
@@ -24,15 +24,15 @@
 
 /// Takes up a query of one part under a key; its number, or what it was answered at once.
 fn ask(queries: &mut Queries, now: Micros, id: QueryId, class: usize, key: &str) -> Result<QueryId, Reply> {
-    let ask = Ask {
+    let ask = QueryRequest {
         id: format!("r{id}").into(),
         class,
         tenant: 0,
-        patience: SECOND,
-        again: false,
-        key: Some(key.into()),
-        parts: vec![PartSpec { shard: 0, weight: 1.0, hint: None }],
-        text: "t".into(),
+        client_timeout: SECOND,
+        is_retry: false,
+        idempotency_key: Some(key.into()),
+        parts: vec![PartSpec { shard: 0, weight: 1.0, work_hint: None }],
+        predicate: "t".into(),
         limits: Default::default(),
     };
     let (client, reply) = Client::new(1);
@@ -44,7 +44,7 @@
 
 fn send(queries: &mut Queries, now: Micros, query: QueryId, attempt: u32) -> Result<AttemptId, Held> {
     let attempt = AttemptId { query, part: 0, attempt };
-    let dispatch = Dispatch { attempt, server: NodeId("s".into()), until: now + SECOND / 10 };
+    let dispatch = Dispatch { attempt, server: NodeId("s".into()), deadline: now + SECOND / 10 };
     queries.outgoing(now, dispatch).map(|s| s.attempt)
 }
 
--- a/crates/broker/src/reload.rs
+++ b/crates/broker/src/reload.rs
@@ -4,11 +4,11 @@
 use brookbend::api::Settings;
 use plover_admission::budget::{Fronts, Given, divide};
 use plover_config::{self as config, Config, InForce};
-use plover_core::{Core, Placed};
+use plover_core::{Core, IndexedSettings};
 use plover_model::query::Names;
 use plover_model::time::{Micros, millis};
 use plover_pacing::Pacing;
-use plover_query::Terms;
+use plover_query::RequestConfig;
 use plover_runtime::descriptors;
 use tracing::warn;
 
@@ -31,7 +31,7 @@
     pub(crate) config: Config,
     /// What the fronts may hold.
     pub(crate) limits: Fronts,
-    pub(crate) placed: Placed,
+    pub(crate) placed: IndexedSettings,
 }
 
 impl Files {
@@ -51,8 +51,8 @@
     }
 
     /// What requests are read by, where the settings and the names are given.
-    pub(crate) fn terms(&self, settings: &Settings, names: &Names) -> Terms {
-        Terms {
+    pub(crate) fn terms(&self, settings: &Settings, names: &Names) -> RequestConfig {
+        RequestConfig {
             names: names.clone(),
             settings: Some(settings.clone()),
             routes: self.operator.routes(&names.classes),
@@ -96,7 +96,7 @@
         let mut operator = self.operator.clone();
         operator.adopt_quietly(&settings);
         let limits = divide(config.clients, operator.http2())?;
-        let placed = core.plan(now, &config.settings, &config.names).map_err(|e| e.to_string())?;
+        let placed = core.index_settings(now, &config.settings, &config.names).map_err(|e| e.to_string())?;
         // From here on nothing fails.
         self.clients = config.clients;
         self.operator.adopt(&settings, platform);
--- a/crates/broker/src/room.rs
+++ b/crates/broker/src/room.rs
@@ -238,7 +238,7 @@
                 AttemptId { query, part, attempt: 0 }..=AttemptId { query, part, attempt: u32::MAX };
             if dispatches.range(of_part).next().is_none() {
                 queries.leave_out(query, part);
-                core.leave_out(query, part);
+                core.omit_part(query, part);
             }
         }
     }
@@ -257,7 +257,7 @@
         upstream: &Upstream,
     ) -> bool {
         let Some(sight) = queries.sight(query) else { return true };
-        let (need, floor) = core.shares(sight.class).unwrap_or((1.0, 1.0));
+        let (need, floor) = core.need_and_floor(sight.class).unwrap_or((1.0, 1.0));
         let servers: BTreeSet<&NodeId> = of_query(dispatches, query).map(|d| &d.server).collect();
         let without: Vec<AttemptId> =
             of_query(dispatches, query).filter(|d| lacking.contains(&d.server)).map(|d| d.attempt).collect();
@@ -280,7 +280,7 @@
         if matches!(course, Course::LeaveOut | Course::Refuse) {
             for attempt in &without {
                 queries.leave_out(query, attempt.part);
-                core.leave_out(query, attempt.part);
+                core.omit_part(query, attempt.part);
             }
             // The log takes one such line a second; the counts tell how many there were.
             let (class, refused, in_part) = (queries.class_name(sight.class), self.refused, self.in_part);
--- a/crates/broker/src/room/tests.rs
+++ b/crates/broker/src/room/tests.rs
@@ -9,12 +9,12 @@
 use futures_lite::future::yield_now;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use plover_admission::descriptors::Own;
-use plover_core::{Final, Report, Verdict};
+use plover_core::{Completion, Report, Verdict};
 use plover_frames::FromServer;
 use plover_model::limits::PoolLimits;
-use plover_model::query::{Ask, PartSpec, Reply};
+use plover_model::query::{PartSpec, QueryRequest, Reply};
 use plover_model::server::{ListScope, NodeState, Outcome, ServerInfo};
-use plover_query::Terms;
+use plover_query::RequestConfig;
 use plover_runtime::clock::{Clock, limited};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
@@ -60,10 +60,15 @@
     fn new(sockets: usize, floor: f64) -> Rig {
         let settings = settings(floor);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let limits =
-            PoolLimits { sockets, batch: 4, multiplex: 8, dial_timeout: SECOND / 4, keepalive: 60 * SECOND };
+        let limits = PoolLimits {
+            max_connections: sockets,
+            max_parts_per_call: 4,
+            max_parts_per_connection: 8,
+            dial_timeout: SECOND / 4,
+            idle_timeout: 60 * SECOND,
+        };
         let mut upstream = Upstream::new(Rc::default(), Rc::default(), Clock::standing(), limits).unwrap();
-        let mut core = Core::new(settings.clone(), 1000, 7).named(&names());
+        let mut core = Core::new(settings.clone(), 1000, 7).with_names(&names());
         for n in 0..SERVERS {
             upstream.learn(0, server(n), Some(listener.local_addr().unwrap()));
         }
@@ -72,9 +77,9 @@
             cell: n,
             state: NodeState::Serving,
             zone: None,
-            started: None,
+            started_at: None,
         };
-        core.learn(ListScope::Known, (0..SERVERS).map(info).collect());
+        core.update_servers(ListScope::Cached, (0..SERVERS).map(info).collect());
         Rig {
             room: Room::new(given(2 * sockets as u64, sockets as u64), &settings, &names(), 1000),
             core,
@@ -88,15 +93,15 @@
     /// Takes up a query for these shards; what the decisions would send.
     fn ask(&mut self, id: QueryId, shards: std::ops::Range<usize>) -> BTreeMap<AttemptId, Dispatch> {
         let weight = 1.0 / shards.len() as f64;
-        let ask = Ask {
+        let ask = QueryRequest {
             id: format!("r{id}").into(),
             class: 0,
             tenant: 0,
-            patience: 4 * SECOND,
-            again: false,
-            key: None,
-            parts: shards.map(|shard| PartSpec { shard, weight, hint: None }).collect(),
-            text: "t".into(),
+            client_timeout: 4 * SECOND,
+            is_retry: false,
+            idempotency_key: None,
+            parts: shards.map(|shard| PartSpec { shard, weight, work_hint: None }).collect(),
+            predicate: "t".into(),
             limits: Default::default(),
         };
         let (client, _) = Client::new(1);
@@ -120,24 +125,24 @@
     }
 
     /// The servers answer these attempts; tells the core, with those that were not sent.
-    fn end(&mut self, served: Vec<Ended>, never: Vec<AttemptId>) -> Vec<Final> {
+    fn end(&mut self, served: Vec<Ended>, never: Vec<AttemptId>) -> Vec<Completion> {
         self.now += 5000;
         let never = never.into_iter().map(|attempt| Report {
             attempt,
             outcome: Outcome::NotSent,
             elapsed: 0,
             load: None,
-            connected: None,
+            connected_at: None,
         });
         let served = served.into_iter().map(|e| Report {
             attempt: e.attempt,
             outcome: e.outcome,
             elapsed: e.elapsed,
             load: None,
-            connected: None,
+            connected_at: None,
         });
         let reports = never.chain(served).collect();
-        self.core.report(self.now, reports).finals
+        self.core.report(self.now, reports).completions
     }
 
     /// All that is out is answered, on whatever connection it is.
@@ -174,7 +179,7 @@
     let fitted = rig.fit(wanted);
     assert_eq!((sent(&fitted).len(), fitted.never.len(), fitted.refused), (0, SERVERS, vec![1]));
     assert_eq!((rig.room.refused, rig.room.in_part, rig.upstream.open()), (1, 0, 0));
-    rig.core.leave(1);
+    rig.core.client_gone(1);
     rig.queries.finish(rig.now, 1, |_| Reply::Failed);
     assert_eq!(rig.end(vec![], fitted.never), []);
     assert_eq!(rig.core.census(rig.now), (SERVERS as u64, 0));
@@ -184,7 +189,7 @@
     assert_eq!((sent(&fitted).len(), fitted.never.len()), (10, 0));
     rig.go(&fitted);
     let served = rig.answer_all();
-    assert_eq!(rig.end(served, vec![]), [Final { query: 2, verdict: Verdict::Answer { whole: true } }]);
+    assert_eq!(rig.end(served, vec![]), [Completion { query: 2, verdict: Verdict::Answer { whole: true } }]);
 }
 
 /// As many parts as there are connections go out, and once these are in the answer goes, marked as what it is.
@@ -198,7 +203,7 @@
     assert_eq!((rig.room.refused, rig.room.in_part, rig.upstream.open()), (0, 1, 10));
     assert_eq!(rig.end(vec![], fitted.never), []);
     let served = rig.answer_all();
-    assert_eq!(rig.end(served, vec![]), [Final { query: 1, verdict: Verdict::Answer { whole: false } }]);
+    assert_eq!(rig.end(served, vec![]), [Completion { query: 1, verdict: Verdict::Answer { whole: false } }]);
     // One below its floor is refused like any other.
     let mut rig = Rig::new(9, 0.25);
     let wanted = rig.ask(1, 0..SERVERS);
@@ -249,14 +254,14 @@
     // Its server is its shard's only one: it would be asked again while attempts are left.
     rig.now += 5000;
     let report =
-        Report { attempt: lacked, outcome: Outcome::NotSent, elapsed: 0, load: None, connected: None };
+        Report { attempt: lacked, outcome: Outcome::NotSent, elapsed: 0, load: None, connected_at: None };
     let decisions = rig.core.report(rig.now, vec![report]);
     let again: Vec<AttemptId> = decisions.dispatches.iter().map(|d| d.attempt).collect();
     assert_eq!(again, [AttemptId { attempt: 1, ..lacked }]);
     // Asked for again: the query goes on.
     let dispatches = decisions.dispatches.into_iter().map(|d| (d.attempt, d)).collect();
     let fitted = rig.fit(dispatches);
-    assert_eq!((fitted.never.len(), rig.core.tick(rig.now).finals), (1, vec![]));
+    assert_eq!((fitted.never.len(), rig.core.tick(rig.now).completions), (1, vec![]));
     // Not asked for: it ends in the next turn, harmless to repeat.
     assert!(rig.fit(BTreeMap::new()).never.is_empty());
     rig.now += 5000;
@@ -269,12 +274,12 @@
                 outcome: Outcome::NotSent,
                 elapsed: 0,
                 load: None,
-                connected: None,
+                connected_at: None,
             }],
         )
-        .finals;
+        .completions;
     assert!(
-        matches!(finals[..], [Final { query: 3, verdict: Verdict::Refuse { retry_after: Some(_) } }]),
+        matches!(finals[..], [Completion { query: 3, verdict: Verdict::Refuse { retry_after: Some(_) } }]),
         "{finals:?}"
     );
 }
@@ -305,7 +310,7 @@
     rig.upstream.set_room(30);
     let executor = Rc::new(LocalExecutor::new());
     let clock = Clock::start();
-    let shared = FrontShared::new(Rc::default(), clock, Terms::default());
+    let shared = FrontShared::new(Rc::default(), clock, RequestConfig::default());
     let listener = || Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let http1 = listener();
     let to = http1.get_ref().local_addr().unwrap();
@@ -348,22 +353,22 @@
     let mut settings = settings(0.2);
     settings.classes[0].need = 0.25;
     let mut rig = Rig::new(10, 0.2);
-    rig.core = Core::new(settings, 1000, 7).named(&names());
+    rig.core = Core::new(settings, 1000, 7).with_names(&names());
     let info = |n: usize| ServerInfo {
         name: server(n),
         cell: n,
         state: NodeState::Serving,
         zone: None,
-        started: None,
+        started_at: None,
     };
-    rig.core.learn(ListScope::Known, (0..SERVERS).map(info).collect());
+    rig.core.update_servers(ListScope::Cached, (0..SERVERS).map(info).collect());
     // Its module keeps the rest in reserve; one more than there are connections for is asked for all the same.
     let mut wanted = rig.ask(1, 0..SERVERS);
     assert_eq!(wanted.len(), 10);
-    let (attempt, until) = wanted.first_key_value().map(|(a, d)| (*a, d.until)).unwrap();
+    let (attempt, until) = wanted.first_key_value().map(|(a, d)| (*a, d.deadline)).unwrap();
     let part = (0..SERVERS).find(|part| !wanted.keys().any(|a| a.part == *part)).unwrap();
     let attempt = AttemptId { part, ..attempt };
-    wanted.insert(attempt, Dispatch { attempt, server: server(part), until });
+    wanted.insert(attempt, Dispatch { attempt, server: server(part), deadline: until });
     let fitted = rig.fit(wanted);
     assert_eq!((sent(&fitted).len(), fitted.never.len(), fitted.refused.len()), (10, 1, 0));
     rig.go(&fitted);
--- a/crates/broker/src/run.rs
+++ b/crates/broker/src/run.rs
@@ -151,7 +151,7 @@
         times: Times::within(millis(config.settings.ask_within)),
         budget: come_back.map(|c| coming::budget(c, config.seed)),
     };
-    let given = Given::new(config.descriptors, config.clients, config.pool.sockets, &limits);
+    let given = Given::new(config.descriptors, config.clients, config.pool.max_connections, &limits);
     let room = Room::new(given, &config.settings, &config.names, config.max_open);
     let mut broker = Broker {
         clock,
@@ -159,7 +159,7 @@
         pacing: files.pacing(&config.settings),
         files,
         queries: Queries::new(&config.settings, &config.names, config.max_open, config.seed, clock.shared(0)),
-        core: Core::new(config.settings, config.max_open, config.seed).named(&config.names),
+        core: Core::new(config.settings, config.max_open, config.seed).with_names(&config.names),
         upstream: Upstream::new(executor.clone(), inbox.clone(), clock, config.pool)?,
         discovery: Discovery::start(executor.clone(), list, watch),
         inbox,
@@ -174,7 +174,7 @@
         accounted: Accounted::default(),
         parts,
     };
-    broker.start(ListScope::Known, &config.known);
+    broker.start(ListScope::Cached, &config.known);
     config.notes.iter().for_each(|note| warn!(name: "settings_noted", note));
     info!(name: "started", name = %config.name, listen = %at.http1, rev);
     if let (Some(listen), Some(held)) = (at.http2, limits.http2) {
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -15,15 +15,15 @@
 use futures_lite::FutureExt;
 use futures_lite::future::yield_now;
 use plover_admission::{Connection, OwnTime, Turn};
-use plover_core::{Core, Decisions, Dispatch, Final, Query, Report, Verdict};
+use plover_core::{Completion, Core, Decisions, Dispatch, Query, Report, Verdict};
 use plover_discovery::{Discovery, Times};
 use plover_handover::{Keyed, Neighbours};
-use plover_model::query::{Ask, AttemptId, QueryId, Reply};
+use plover_model::query::{AttemptId, QueryId, QueryRequest, Reply};
 use plover_model::server::{ListScope, Outcome, Targets};
 use plover_model::time::{Micros, millis};
 use plover_ops::{Call, Census, Ending};
 use plover_pacing::Pacing;
-use plover_query::BINDS;
+use plover_query::SETTINGS_EFFECTIVE_AFTER;
 use plover_runtime::busy::BusyTime;
 use plover_runtime::clock::Clock;
 use std::collections::BTreeMap;
@@ -69,7 +69,7 @@
 }
 
 /// A query as it comes out of the inbox.
-type Asked = (QueryId, Connection, Ask, Client);
+type Asked = (QueryId, Connection, QueryRequest, Client);
 
 impl Broker {
     /// Begins with the list as it is remembered; what is on may have to be waited for.
@@ -97,7 +97,15 @@
             let view = View { core: &self.core, queries: &self.queries, rev: self.list.rev };
             let parts = self.parts.due(now, view);
             let room = self.room.due(now);
-            let due = [Some(self.core.due()), Some(self.upstream.due()), doors, ended, put_off, parts, room];
+            let due = [
+                Some(self.core.next_tick_at()),
+                Some(self.upstream.due()),
+                doors,
+                ended,
+                put_off,
+                parts,
+                room,
+            ];
             let due = due.into_iter().flatten().min().unwrap_or(Micros::MAX);
             self.pause(now, due).await;
         }
@@ -114,14 +122,14 @@
         loop {
             let in_hand = self.queries.len() + self.inbox.asks();
             let awaited = self.upstream.out().saturating_sub(self.inbox.ends());
-            let next = self.pacing.earliest(now, in_hand, awaited);
+            let next = self.pacing.next_turn_at(now, in_hand, awaited);
             if self.clock.now() >= next {
                 break;
             }
             let time = async {
                 Timer::at(self.clock.instant(next)).await;
             };
-            if !self.pacing.heeds_news() {
+            if !self.pacing.is_adaptive() {
                 self.upstream.hold(true);
                 time.await;
                 return self.upstream.hold(false);
@@ -153,7 +161,7 @@
                 Input::Ask(id, connection, ask, client) => asks.push((id, connection, ask, client)),
                 Input::Gone(id) => {
                     asks.retain(|(ask, ..): &Asked| *ask != id);
-                    self.core.leave(id);
+                    self.core.client_gone(id);
                     self.queries.gone(now, id);
                 }
                 Input::Line(id, event) => self.upstream.hear(now, id, event),
@@ -213,7 +221,7 @@
                 }
                 Want::Hear(word) => self.queries.hear(now, word),
                 Want::Copies(copies) => {
-                    self.core.set_copies(copies);
+                    self.core.set_process_count(copies);
                     self.queries.set_copies(copies);
                     self.room.set_copies(copies);
                     self.room.share_out(now, 0, &self.doors.fronts, &mut self.upstream);
@@ -225,17 +233,17 @@
 
     /// Clients that are connected are served for as long as that can be over before the process is ended.
     fn terminate(&mut self, now: Micros) {
-        let ending = Ending::of(self.core.longest_wait(now));
+        let ending = Ending::of(self.core.max_client_timeout(now));
         let superseded = self.parts.beside().is_some_and(Neighbours::has_newer);
         let ending = Ending { stay: if superseded { 0 } else { ending.stay }, ..ending };
         if self.doors.terminate(now, ending, self.queries.len()) {
-            self.core.answer_by(now + ending.answer);
+            self.core.finish_by(now + ending.answer);
         }
     }
 
     /// Takes queries up, so far as all parts let them in.
     fn admit(&mut self, now: Micros, asks: Vec<Asked>) -> Vec<Query> {
-        self.core.set_elsewhere(self.parts.beside().map_or(0, Neighbours::units));
+        self.core.set_sibling_units(self.parts.beside().map_or(0, Neighbours::units));
         let mut queries = Vec::new();
         for (id, connection, ask, client) in asks {
             match self.parts.entry(now, &ask) {
@@ -259,7 +267,7 @@
         look_at(&clients).await;
         for id in asked {
             if self.queries.presence(id).is_some_and(|client| !client.waits()) {
-                self.core.leave(id);
+                self.core.client_gone(id);
                 self.queries.gone(now, id);
             }
         }
@@ -273,8 +281,8 @@
         self.ended.extend(fitted.never.into_iter().map(never_sent));
         for query in fitted.refused {
             let class = self.queries.sight(query).map(|sight| sight.class);
-            let retry_after = class.and_then(|class| self.core.advice(class));
-            self.core.leave(query);
+            let retry_after = class.and_then(|class| self.core.retry_after_when_full(class));
+            self.core.client_gone(query);
             self.finish(now, query, Verdict::Refuse { retry_after });
         }
         let go = fitted.go.into_iter();
@@ -318,17 +326,17 @@
     fn reload(&mut self, now: Micros) {
         let Some(Fresh { config, limits, placed }) = self.files.reread(now, &self.core) else { return };
         self.doors.fronts.set_limits(limits);
-        let given = Given::new(config.descriptors, config.clients, config.pool.sockets, &limits);
+        let given = Given::new(config.descriptors, config.clients, config.pool.max_connections, &limits);
         self.room.retune(given, &placed.settings, &placed.names, config.max_open);
         self.tick = millis(config.settings.tick);
         self.pacing = self.files.pacing(&config.settings);
         self.list.zones.clone_from(&placed.names.zones);
         self.queries.retune(&placed.settings, &placed.names, config.max_open);
-        self.queries.forget_tenants(&placed.tenants_begun);
+        self.queries.forget_tenants(&placed.new_tenants);
         let quarantine = quarantine(&placed.settings);
         let wants = self.parts.told(now, Told::Retuned { quarantine });
         self.carry_wants(now, wants);
-        self.core.retune(&placed, config.max_open, now + BINDS);
+        self.core.retune(&placed, config.max_open, now + SETTINGS_EFFECTIVE_AFTER);
         self.upstream.set_limits(config.pool);
         self.doors.fronts.change(now, self.files.terms(&placed.settings, &placed.names));
         info!(name: "reloaded", discovery = %config.discovery, classes = config.names.classes.join(","));
@@ -346,21 +354,21 @@
                 outcome: e.outcome,
                 elapsed: e.elapsed,
                 load: e.load,
-                connected: e.connected,
+                connected_at: e.connected,
             }
         };
         ended.into_iter().map(report).collect()
     }
 
     fn carry_out(&mut self, now: Micros, decisions: Decisions) {
-        if decisions.no_room > 0 {
-            warn!(name: "no_room", queries = decisions.no_room, held = self.core.held());
+        if decisions.refused_full > 0 {
+            warn!(name: "no_room", queries = decisions.refused_full, held = self.core.units_in_use());
         }
         if decisions.overdue > 0 {
             warn!(name: "overdue", queries = decisions.overdue);
         }
         self.tell_refusals();
-        for attempt in decisions.give_up {
+        for attempt in decisions.cancel {
             if self.dispatches.remove(&attempt).is_some() {
                 // Called off in the turn that asked for it.
                 self.ended.push(never_sent(attempt));
@@ -368,7 +376,7 @@
                 self.upstream.give_up(now, attempt);
             }
         }
-        for Final { query, verdict } in decisions.finals {
+        for Completion { query, verdict } in decisions.completions {
             self.finish(now, query, verdict);
         }
         self.dispatches.extend(decisions.dispatches.into_iter().map(|d| (d.attempt, d)));
@@ -405,7 +413,7 @@
             Err(Held::Over) => {}
             Err(Held::Repeat) => {
                 // An earlier query of its key may have run this part: this one can be neither served nor refused.
-                self.core.leave(attempt.query);
+                self.core.client_gone(attempt.query);
                 self.queries.finish(now, attempt.query, |_| Reply::Failed);
             }
         }
--- a/crates/broker/src/upstream/endings.rs
+++ b/crates/broker/src/upstream/endings.rs
@@ -35,7 +35,7 @@
         let Some(flight) = self.flights.get(&attempt) else { return };
         let (id, sent) = (flight.conn, flight.sent);
         let unsent = self.conns.get(&id).is_some_and(|c| c.line.withdraw(attempt));
-        let (most, dial) = (self.limits.multiplex, self.limits.dial_timeout);
+        let (most, dial) = (self.limits.max_parts_per_connection, self.limits.dial_timeout);
         let mut stuck = false;
         if !unsent {
             let staged = self.conns.change(id, |conn| {
--- a/crates/broker/src/upstream/mod.rs
+++ b/crates/broker/src/upstream/mod.rs
@@ -137,18 +137,18 @@
 
     /// Other limits, for what is dialled and sent from now on; descriptors stay what they are.
     pub fn set_limits(&mut self, limits: PoolLimits) {
-        self.limits = PoolLimits { sockets: self.limits.sockets, ..limits };
+        self.limits = PoolLimits { max_connections: self.limits.max_connections, ..limits };
     }
 
     /// So many descriptors at the most from now on. Beyond that idle connections end at once, and others as they fall idle.
     pub fn set_room(&mut self, sockets: usize) {
-        self.limits.sockets = sockets;
+        self.limits.max_connections = sockets;
         while self.conns.len() > sockets && self.evict() {}
     }
 
     /// Descriptors that connections may have in all, and those that no connection has.
     pub fn room(&self) -> (usize, usize) {
-        (self.limits.sockets, self.limits.sockets.saturating_sub(self.conns.len()))
+        (self.limits.max_connections, self.limits.max_connections.saturating_sub(self.conns.len()))
     }
 
     /// Data servers that are known here.
@@ -185,7 +185,7 @@
     /// Sends the attempts of one turn: those to one server share calls.
     pub fn dispatch(&mut self, now: Micros, mut sends: Vec<Send>) {
         sends.sort_by(|a, b| a.server.cmp(&b.server));
-        let batch = self.limits.batch.max(1);
+        let batch = self.limits.max_parts_per_call.max(1);
         let mut sends = sends.into_iter().peekable();
         while let Some(first) = sends.next() {
             let server = first.server.clone();
@@ -245,7 +245,7 @@
     /// Closes what is idle for too long, or retired and done with.
     pub fn sweep(&mut self, now: Micros) {
         self.pass_late(now);
-        let idle = self.limits.keepalive * IDLE_SHARE.0 / IDLE_SHARE.1;
+        let idle = self.limits.idle_timeout * IDLE_SHARE.0 / IDLE_SHARE.1;
         let idle = now.checked_sub(idle).map(|since| self.conns.idle_since(since));
         for id in idle.into_iter().flatten().chain(self.conns.done()) {
             self.close(id);
--- a/crates/broker/src/upstream/placing.rs
+++ b/crates/broker/src/upstream/placing.rs
@@ -35,7 +35,8 @@
         let server = self.servers.get(name).filter(|s| s.endpoint.get().is_some())?;
         let conns = server.conns.borrow();
         let takes = |c: &&Conn| {
-            let room = c.out.len() + parts.min(self.limits.batch) <= self.limits.multiplex;
+            let room = c.out.len() + parts.min(self.limits.max_parts_per_call)
+                <= self.limits.max_parts_per_connection;
             let is_late = c.late && c.line.is_dialling();
             room && !c.retiring && !is_late && !self.is_suspect(now, c)
         };
@@ -63,19 +64,19 @@
         let conns = server.conns.borrow();
         let open = conns.iter().filter_map(|id| Some((*id, self.conns.get(id)?)));
         let apart = |c: &Conn| parts.iter().all(|part| c.attempt(&part.id).is_none());
-        let room = |c: &Conn| c.out.len() + parts.len() <= self.limits.multiplex;
+        let room = |c: &Conn| c.out.len() + parts.len() <= self.limits.max_parts_per_connection;
         let waits = |c: &Conn| c.late && c.line.is_dialling() && dialling < DIALS;
         let takes = |c: &Conn| !c.retiring && !waits(c) && room(c) && apart(c);
         let roomy = open.filter(|(_, c)| takes(c) && !self.is_suspect(now, c));
         let best = roomy.min_by_key(|(_, c)| (c.out.len(), c.used));
-        let most = (self.limits.sockets / self.servers.len().max(1)).clamp(1, PER_SERVER);
+        let most = (self.limits.max_connections / self.servers.len().max(1)).clamp(1, PER_SERVER);
         if let Some((id, conn)) = best
-            && (conn.out.is_empty() || conns.len() >= most || self.conns.len() >= self.limits.sockets)
+            && (conn.out.is_empty() || conns.len() >= most || self.conns.len() >= self.limits.max_connections)
         {
             return Some(id);
         }
         drop(conns);
-        if self.conns.len() >= self.limits.sockets && !self.evict() {
+        if self.conns.len() >= self.limits.max_connections && !self.evict() {
             warn!(name: "upstream_sockets_full", server = %server.name.0, open = self.conns.len());
             return None;
         }
--- a/crates/broker/src/upstream/tests.rs
+++ b/crates/broker/src/upstream/tests.rs
@@ -17,7 +17,13 @@
 
 fn limits() -> PoolLimits {
     let (dial_timeout, keepalive) = (SECOND / 4, 15 * SECOND);
-    PoolLimits { sockets: 10, batch: 2, multiplex: 4, dial_timeout, keepalive }
+    PoolLimits {
+        max_connections: 10,
+        max_parts_per_call: 2,
+        max_parts_per_connection: 4,
+        dial_timeout,
+        idle_timeout: keepalive,
+    }
 }
 
 fn server() -> NodeId {
@@ -93,7 +99,7 @@
 /// Parts go by their ids: two attempts at one on one connection would have one answer.
 #[test]
 fn a_second_copy_at_the_same_server_goes_on_another_connection() {
-    let (mut pool, _listener) = pool(PoolLimits { sockets: 2, ..limits() });
+    let (mut pool, _listener) = pool(PoolLimits { max_connections: 2, ..limits() });
     pool.dispatch(0, sends(1, 1));
     pool.dispatch(10, sends(2, 1));
     let copy = |s: Send| Send { attempt: AttemptId { attempt: 1, ..s.attempt }, ..s };
@@ -121,7 +127,7 @@
 /// The end of a connection that had come up is no news of whether its server can be reached.
 #[test]
 fn what_waits_behind_a_connection_that_was_up_is_not_sent() {
-    let (mut pool, _listener) = pool(PoolLimits { sockets: 1, ..limits() });
+    let (mut pool, _listener) = pool(PoolLimits { max_connections: 1, ..limits() });
     pool.dispatch(0, sends(1, 1));
     run_until_written(&mut pool);
     pool.dispatch(10, endless(2));
@@ -134,7 +140,7 @@
 /// Of what a turn writes at once the socket may take a part: the connection's task writes the rest, and what stood behind it.
 #[test]
 fn what_a_socket_does_not_take_at_once_goes_out_in_its_order() {
-    let (mut pool, listener) = pool(PoolLimits { sockets: 1, batch: 1, ..limits() });
+    let (mut pool, listener) = pool(PoolLimits { max_connections: 1, max_parts_per_call: 1, ..limits() });
     pool.dispatch(0, sends(1, 1));
     run_until_written(&mut pool);
     pool.dispatch(10, [endless(2), sends(3, 2)].concat());
@@ -166,7 +172,7 @@
 }
 
 fn outcomes_of_spoilt(event: LineEvent, sent: usize) -> (Vec<Outcome>, usize) {
-    let (mut pool, _listener) = pool(PoolLimits { batch: 4, ..limits() });
+    let (mut pool, _listener) = pool(PoolLimits { max_parts_per_call: 4, ..limits() });
     pool.dispatch(0, sends(1, sent));
     block_on(pool.conns[&0].line.next(&Clock::standing()));
     pool.conns[&0].line.written();
@@ -228,7 +234,7 @@
 /// Every dispatched attempt ends, also where no descriptor is left for it.
 #[test]
 fn with_no_descriptor_left_an_idle_connection_makes_room_or_the_attempt_ends() {
-    let (mut pool, listener) = pool(PoolLimits { sockets: 1, ..limits() });
+    let (mut pool, listener) = pool(PoolLimits { max_connections: 1, ..limits() });
     pool.dispatch(0, sends(1, 1));
     let other = NodeId("s1".into());
     pool.learn(0, other.clone(), Some(listener.local_addr().unwrap()));
@@ -334,7 +340,7 @@
 /// emptiness made it the first choice for the next.
 #[test]
 fn a_silent_connection_beside_ones_that_answer_gets_nothing_new() {
-    let (mut pool, _listener) = pool(PoolLimits { batch: 1, ..limits() });
+    let (mut pool, _listener) = pool(PoolLimits { max_parts_per_call: 1, ..limits() });
     pool.dispatch(0, sends(1, 1));
     pool.dispatch(10, sends(2, 1));
     (0..2).for_each(|id| write_out(&mut pool, id));
@@ -360,7 +366,7 @@
 /// A server that is slow on all of its connections is no reason to dial anew.
 #[test]
 fn a_server_that_answers_nothing_keeps_its_connections() {
-    let (mut pool, _listener) = pool(PoolLimits { batch: 1, ..limits() });
+    let (mut pool, _listener) = pool(PoolLimits { max_parts_per_call: 1, ..limits() });
     pool.dispatch(0, sends(1, 2));
     (0..2).for_each(|id| write_out(&mut pool, id));
     pool.hear(30_000, 1, answer("q1.1"));
@@ -377,7 +383,7 @@
 /// Half an answer that does not go on: the next parts go elsewhere, long before it counts as spoilt.
 #[test]
 fn nothing_is_sent_behind_an_answer_that_has_stopped() {
-    let (mut pool, _listener) = pool(PoolLimits { batch: 1, ..limits() });
+    let (mut pool, _listener) = pool(PoolLimits { max_parts_per_call: 1, ..limits() });
     pool.dispatch(0, sends(1, 1));
     write_out(&mut pool, 0);
     pool.hear(10, 0, LineEvent::Begun);
@@ -430,7 +436,7 @@
 /// A connection that does not come up to a server that answers meanwhile tells nothing of that server.
 #[test]
 fn one_connection_that_does_not_come_up_is_no_news_of_a_server_that_answers() {
-    let (mut pool, _listener) = pool(PoolLimits { sockets: 2, ..limits() });
+    let (mut pool, _listener) = pool(PoolLimits { max_connections: 2, ..limits() });
     pool.dispatch(0, sends(1, 1));
     write_out(&mut pool, 0);
     pool.dispatch(10, sends(2, 1));
@@ -509,7 +515,7 @@
 /// What the pool may hold falls: idle connections end at once, those with something out once they are idle.
 #[test]
 fn a_smaller_room_ends_what_is_idle_first() {
-    let (mut pool, _listener) = pool(PoolLimits { batch: 1, ..limits() });
+    let (mut pool, _listener) = pool(PoolLimits { max_parts_per_call: 1, ..limits() });
     pool.dispatch(0, sends(1, 3));
     pool.hear(10, 0, answer("q1.0"));
     assert_eq!((pool.open(), pool.room(), pool.idle()), (3, (10, 7), 1));
@@ -523,7 +529,7 @@
 /// How a call would go out: on an idle connection, on one with room beside others, or on a new one.
 #[test]
 fn the_way_of_a_call_is_known_before_it_is_made() {
-    let (mut pool, _listener) = pool(PoolLimits { sockets: 1, ..limits() });
+    let (mut pool, _listener) = pool(PoolLimits { max_connections: 1, ..limits() });
     let way = |pool: &Upstream| pool.way(0, &server(), 1);
     assert_eq!((way(&pool), pool.way(0, &NodeId("s9".into()), 1)), (Some(Way::New), None));
     pool.dispatch(0, sends(1, 1));
--- a/crates/broker/src/upstream/tests/counts.rs
+++ b/crates/broker/src/upstream/tests/counts.rs
@@ -7,7 +7,7 @@
 /// So many connections, each to a server of its own, up and idle; with what the servers hold of them.
 fn idle_ones(connections: usize) -> (Upstream, Vec<TcpStream>) {
     let (mut pool, listener) =
-        pool(PoolLimits { sockets: connections, dial_timeout: 30 * SECOND, ..limits() });
+        pool(PoolLimits { max_connections: connections, dial_timeout: 30 * SECOND, ..limits() });
     let address = listener.local_addr().unwrap();
     (0..connections).for_each(|n| pool.learn(0, name(n), Some(address)));
     let mut servers = Vec::new();
@@ -83,7 +83,7 @@
 #[test]
 fn all_that_goes_on_one_connection_in_a_turn_leaves_in_one_write() {
     let (mut pool, mut servers) = idle_ones(1);
-    pool.limits.batch = 1;
+    pool.limits.max_parts_per_call = 1;
     pool.dispatch(20, vec![part(2, 0)]);
     assert_eq!(heard(&mut servers[0]), "....mq2.0 0 d=980 8\nc41e77d0".len());
     let before = calls(&pool);
@@ -177,7 +177,7 @@
 #[test]
 fn a_part_whose_moment_has_passed_is_not_written_by_the_turn() {
     let (mut pool, _servers) = idle_ones(1);
-    pool.limits.batch = 2;
+    pool.limits.max_parts_per_call = 2;
     let late = Send { by: 0, ..part(2, 0) };
     let before = calls(&pool);
     pool.dispatch(20, vec![late.clone()]);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -93,7 +93,7 @@
         })?;
         self.descriptors = Limit { most, reserve: self.own.reserve() };
         self.clients.sockets = shared.clients;
-        self.pool.sockets = shared.pool as usize;
+        self.pool.max_connections = shared.pool as usize;
         Ok(self)
     }
 
@@ -282,11 +282,11 @@
         max_open: site.max_open.unwrap_or(MAX_OPEN) as usize,
         clients: Given { sockets: shared.clients, memory, http1_holds: CLIENT_HOLDS },
         pool: PoolLimits {
-            sockets: shared.pool as usize,
-            batch: site.settings.batch,
-            multiplex: (site.multiplex.unwrap_or(MULTIPLEX) as usize).max(site.settings.batch),
+            max_connections: shared.pool as usize,
+            max_parts_per_call: site.settings.batch,
+            max_parts_per_connection: (site.multiplex.unwrap_or(MULTIPLEX) as usize).max(site.settings.batch),
             dial_timeout: millis(site.dial_timeout.unwrap_or(DIAL_TIMEOUT_MS)),
-            keepalive: millis(site.keepalive.unwrap_or(KEEPALIVE_MS)),
+            idle_timeout: millis(site.keepalive.unwrap_or(KEEPALIVE_MS)),
         },
         names: Names {
             classes: site.class_names,
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -15,8 +15,11 @@
     let env = |key: &str| (key == "RELAY_LISTEN").then(|| "127.0.0.1:3".to_owned());
     let config = check(&config(), env).unwrap();
     assert_eq!((config.listen.port(), config.discovery.port(), config.name.as_str()), (3, 2, "n3"));
-    assert_eq!((config.clients.sockets, config.pool.sockets), (2708, 1354));
-    assert_eq!((config.pool.batch, config.pool.dial_timeout, config.max_open), (2, 250_000, 100));
+    assert_eq!((config.clients.sockets, config.pool.max_connections), (2708, 1354));
+    assert_eq!(
+        (config.pool.max_parts_per_call, config.pool.dial_timeout, config.max_open),
+        (2, 250_000, 100)
+    );
 }
 
 /// What the platform gives is what is gone by, up to the system's own limit; what no process can hold is named.
@@ -33,7 +36,7 @@
         let config = check(&config, |_| None).unwrap().within(system, None).unwrap();
         assert_eq!((config.sockets, config.descriptors.most), (sockets, most));
         let shared = most - config.descriptors.reserve;
-        let divided = config.clients.sockets + config.pool.sockets as u64;
+        let divided = config.clients.sockets + config.pool.max_connections as u64;
         assert!(divided <= shared && divided + 1 >= shared, "{divided} of {shared}");
     }
     config["limits"].as_object_mut().unwrap().remove("sockets");
--- a/crates/core/examples/part_cost.rs
+++ b/crates/core/examples/part_cost.rs
@@ -39,9 +39,9 @@
         cell: n % cells,
         state: NodeState::Serving,
         zone: None,
-        started: None,
+        started_at: None,
     };
-    core.learn(ListScope::Whole, (0..servers).map(server).collect());
+    core.update_servers(ListScope::Complete, (0..servers).map(server).collect());
     let every = (parts as u64 * SECOND) / PARTS_A_SECOND as u64;
     let mut out: BTreeMap<Micros, Vec<(AttemptId, Micros)>> = BTreeMap::new();
     let (mut next, mut id, mut answered, mut chance) = (0, 0u64, 0, 1u64);
@@ -57,8 +57,11 @@
             id += 1;
             next += every;
             let first = random(cells as u64) as usize;
-            let part =
-                |i: usize| PartSpec { shard: (first + i) % cells, weight: 1.0 / parts as f64, hint: None };
+            let part = |i: usize| PartSpec {
+                shard: (first + i) % cells,
+                weight: 1.0 / parts as f64,
+                work_hint: None,
+            };
             queries.push(Query {
                 id,
                 class: 0,
@@ -76,7 +79,7 @@
             outcome: Outcome::Served,
             elapsed: now - sent,
             load: None,
-            connected: None,
+            connected_at: None,
         };
         let reports = ended.into_iter().map(report).collect();
         let begin = Instant::now();
--- a/crates/core/src/places.rs
+++ b/crates/core/src/index_table.rs
@@ -1,4 +1,4 @@
-//! Places of classes and tenants: which index is whose when the settings change.
+//! IndexTable of classes and tenants: which index is whose when the settings change.
 //!
 //! A query holds the index of its class until it ends, and its rules are those of that place. So a place is never changed
 //! while it is in use: a class that changes moves to another, and one that leaves keeps its own until it is long empty.
@@ -12,18 +12,18 @@
 use std::fmt;
 
 /// Most places of classes, and of tenants.
-pub const MOST_PLACES: usize = 256;
+pub const MAX_INDICES: usize = 256;
 /// A place that was left is used again after this time at the earliest: requests that were read under the old names
 /// reach the queries a turn later, and are read by them for a while after a change.
 const REST: Micros = 30 * SECOND;
 
 /// Why settings cannot be taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TooMany(&'static str);
+pub struct TooManyIndices(&'static str);
 
-impl fmt::Display for TooMany {
+impl fmt::Display for TooManyIndices {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} have changed too often: {MOST_PLACES} places are in use; try again in a minute", self.0)
+        write!(f, "{} have changed too often: {MAX_INDICES} places are in use; try again in a minute", self.0)
     }
 }
 
@@ -50,23 +50,23 @@
 
 /// All places.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Places {
+pub(crate) struct IndexTable {
     classes: Vec<Place<Class>>,
     tenants: Vec<Place<Tenant>>,
 }
 
 /// Settings and names with their indices as the places have them.
 #[derive(Clone, Debug)]
-pub struct Placed {
+pub struct IndexedSettings {
     /// What the decisions go by.
     pub settings: Settings,
     /// What requests may name.
     pub names: Names,
     /// Tenants that begin at an index which another may have had long before.
-    pub tenants_begun: Vec<usize>,
+    pub new_tenants: Vec<usize>,
     pub(crate) at: Micros,
     pub(crate) begun: Vec<Begun>,
-    places: Places,
+    places: IndexTable,
 }
 
 /// Without tenants all queries are one's who has no name, and no share that could be passed.
@@ -86,7 +86,7 @@
             places[index] = place;
             Some(index)
         }
-        None if places.len() < MOST_PLACES => {
+        None if places.len() < MAX_INDICES => {
             places.push(place);
             Some(places.len() - 1)
         }
@@ -103,19 +103,24 @@
     }
 }
 
-impl Places {
+impl IndexTable {
     /// At a start: each class and tenant has the place that the settings give it. Without names, they have none.
     pub(crate) fn new(settings: &Settings, names: &Names) -> Self {
         let name = |i: usize| names.classes.get(i).map_or("", String::as_str);
         let classes = settings.classes.iter().enumerate();
-        Places {
+        IndexTable {
             classes: classes.map(|(i, class)| Place::new(name(i), class.clone())).collect(),
             tenants: tenants(settings, names).map(|(name, tenant)| Place::new(name, tenant)).collect(),
         }
     }
 
     /// Where everything would be under other settings. Nothing is changed by this.
-    pub(crate) fn plan(&self, now: Micros, new: &Settings, names: &Names) -> Result<Placed, TooMany> {
+    pub(crate) fn plan(
+        &self,
+        now: Micros,
+        new: &Settings,
+        names: &Names,
+    ) -> Result<IndexedSettings, TooManyIndices> {
         let mut places = self.clone();
         let (mut begun, mut tenants_begun) = (Vec::new(), Vec::new());
         let mut live = BTreeSet::new();
@@ -126,7 +131,7 @@
                 continue;
             }
             let place = Place::new(name, class.clone());
-            let index = begin(&mut places.classes, now, place).ok_or(TooMany("classes"))?;
+            let index = begin(&mut places.classes, now, place).ok_or(TooManyIndices("classes"))?;
             live.insert(index);
             begun.push(Begun { class: ClassIndex(index), heir_of: current.map(ClassIndex) });
         }
@@ -141,7 +146,7 @@
                 }
                 None => {
                     let place = Place::new(name, tenant);
-                    let index = begin(&mut places.tenants, now, place).ok_or(TooMany("tenants"))?;
+                    let index = begin(&mut places.tenants, now, place).ok_or(TooManyIndices("tenants"))?;
                     tenants_begun.push(index);
                     index
                 }
@@ -149,10 +154,10 @@
             live.insert(index);
         }
         leave(&mut places.tenants, now, &live);
-        Ok(Placed {
+        Ok(IndexedSettings {
             settings: places.settings(now, new),
             names: places.names(names),
-            tenants_begun,
+            new_tenants: tenants_begun,
             at: now,
             begun,
             places,
@@ -183,8 +188,8 @@
             classes: self.classes.iter().map(|p| p.name.clone()).collect(),
             tenants: self.tenants.iter().map(|p| p.name.clone()).collect(),
             zones: new.zones.clone(),
-            classes_left: left(&self.classes),
-            tenants_left: left(&self.tenants),
+            removed_classes: left(&self.classes),
+            removed_tenants: left(&self.tenants),
         }
     }
 
@@ -201,7 +206,7 @@
     }
 
     /// Goes by what was planned; what is open since is counted still.
-    pub(crate) fn adopt(&mut self, placed: &Placed) {
+    pub(crate) fn adopt(&mut self, placed: &IndexedSettings) {
         let before = std::mem::replace(self, placed.places.clone());
         self.classes.iter_mut().zip(before.classes).for_each(|(p, before)| p.open = before.open);
         self.tenants.iter_mut().zip(before.tenants).for_each(|(p, before)| p.open = before.open);
--- a/crates/core/src/places/tests.rs
+++ b/crates/core/src/index_table/tests.rs
@@ -14,7 +14,7 @@
 #[test]
 fn a_class_that_changes_moves_and_its_queries_keep_their_own() {
     let (old, names) = settings();
-    let mut places = Places::new(&old, &names);
+    let mut places = IndexTable::new(&old, &names);
     places.open(0, 0);
     let mut new = old.clone();
     new.classes[0].semantics = Semantics::Unsafe;
@@ -35,7 +35,7 @@
 #[test]
 fn classes_and_tenants_join_and_leave() {
     let (old, mut names) = settings();
-    let places = Places::new(&old, &names);
+    let places = IndexTable::new(&old, &names);
     let mut new = old.clone();
     new.classes.remove(1);
     names.classes = vec!["lookup".into(), "ranking".into()];
@@ -52,7 +52,7 @@
 #[test]
 fn too_many_changes_are_told() {
     let (old, names) = settings();
-    let mut places = Places::new(&old, &names);
+    let mut places = IndexTable::new(&old, &names);
     let mut new = old.clone();
     let error = (0..).find_map(|n| {
         new.classes[0].aim = 1000.0 + f64::from(n);
@@ -64,7 +64,7 @@
             Err(error) => Some((n, error)),
         }
     });
-    assert_eq!(error, Some(((MOST_PLACES - old.classes.len()) as u32 as i32, TooMany("classes"))));
+    assert_eq!(error, Some(((MAX_INDICES - old.classes.len()) as u32 as i32, TooManyIndices("classes"))));
 }
 
 proptest! {
@@ -72,7 +72,7 @@
     #[test]
     fn no_class_changes_under_a_query(moves in prop::collection::vec((0u8..3, 0usize..3, 0u64..20), 1..80)) {
         let (mut set, names) = settings();
-        let mut places = Places::new(&set, &names);
+        let mut places = IndexTable::new(&set, &names);
         let mut placed = places.plan(0, &set, &names).unwrap();
         let mut open: Vec<(usize, Class)> = Vec::new();
         let mut now = 0;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,11 +2,11 @@
 //!
 //! It knows no protocol. Queries, parts and servers are numbers and names here, so any front can go through the
 //! same decisions and rules. It alone sees the module's events and actions, and it alone counts what is open:
-//! a query enters in [`Core::pick`] and leaves with its one [`Final`] or in [`Core::leave`].
+//! a query enters in [`Core::pick`] and leaves with its one [`Completion`] or in [`Core::client_gone`].
 
-mod places;
+mod index_table;
 
-pub use places::{MOST_PLACES, Placed, TooMany};
+pub use index_table::{IndexedSettings, MAX_INDICES, TooManyIndices};
 
 use brookbend::Aggregator;
 use brookbend::api::{Action, ClassIndex, Event, ListKind, Member, Part, RequestId, Settings, TenantIndex};
@@ -14,10 +14,10 @@
 use brookbend::refusals::Refusals;
 use brookbend::room::no_room_advice;
 use brookbend::view::{Bulk, ServerView};
-use places::Places;
+use index_table::IndexTable;
 use plover_model::query::{AttemptId, Names, PartSpec, QueryId, QueryLimits};
 use plover_model::recall::Recall;
-use plover_model::server::{ListScope, NodeId, Outcome, ServerInfo, View};
+use plover_model::server::{ListScope, NodeId, Outcome, ServerInfo, ServerStatus};
 use plover_model::time::{MILLI, Micros, millis};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -55,7 +55,7 @@
     /// How much the server said it holds.
     pub load: Option<f64>,
     /// Of one that was answered: since when the connection is up that brought the answer, if that is known.
-    pub connected: Option<Micros>,
+    pub connected_at: Option<Micros>,
 }
 
 /// An attempt to send.
@@ -66,7 +66,7 @@
     /// Where to.
     pub server: NodeId,
     /// When to stop waiting for it.
-    pub until: Micros,
+    pub deadline: Micros,
 }
 
 /// How a query ends.
@@ -88,7 +88,7 @@
 
 /// The one final answer of a query.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Final {
+pub struct Completion {
     /// The query.
     pub query: QueryId,
     /// How it ends.
@@ -99,20 +99,20 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct Decisions {
     /// Attempts to stop waiting for. Each still gets its report.
-    pub give_up: Vec<AttemptId>,
-    /// Final answers to give at once.
-    pub finals: Vec<Final>,
+    pub cancel: Vec<AttemptId>,
+    /// Completion answers to give at once.
+    pub completions: Vec<Completion>,
     /// Attempts to send.
     pub dispatches: Vec<Dispatch>,
     /// Queries among the final answers that there was no room for.
-    pub no_room: usize,
+    pub refused_full: usize,
     /// Queries among the final answers that the decisions had left to run out of time.
     pub overdue: usize,
 }
 
 /// What others saw at a server over some time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct ServerStats {
     /// The server.
     pub server: NodeId,
     /// Attempts that were served.
@@ -122,7 +122,7 @@
     /// Attempts that ended without one.
     pub lost: u64,
     /// Mean time of those that were served; `None`: not told.
-    pub elapsed: Option<Micros>,
+    pub mean_elapsed: Option<Micros>,
 }
 
 struct Open {
@@ -151,7 +151,7 @@
     /// Events that go in with the next call.
     staged: Vec<Event>,
     wake_at: Option<Micros>,
-    places: Places,
+    places: IndexTable,
     /// What comes is over by then: the program is to end.
     answer_by: Micros,
     /// What holds beside the settings until these bind, where it is stricter.
@@ -174,7 +174,7 @@
     /// A core that may hold so many queries and parts.
     pub fn new(settings: Settings, max_open: usize, seed: u64) -> Self {
         Core {
-            places: Places::new(&settings, &Names::default()),
+            places: IndexTable::new(&settings, &Names::default()),
             answer_by: Micros::MAX,
             before: None,
             rest_at: None,
@@ -193,19 +193,24 @@
 
     /// Names the classes and tenants that the settings number, so that other settings can be told from these.
     #[must_use]
-    pub fn named(mut self, names: &Names) -> Self {
-        self.places = Places::new(&self.settings, names);
+    pub fn with_names(mut self, names: &Names) -> Self {
+        self.places = IndexTable::new(&self.settings, names);
         self
     }
 
     /// Where classes and tenants would be under other settings. Nothing is changed by this.
-    pub fn plan(&self, now: Micros, settings: &Settings, names: &Names) -> Result<Placed, TooMany> {
+    pub fn index_settings(
+        &self,
+        now: Micros,
+        settings: &Settings,
+        names: &Names,
+    ) -> Result<IndexedSettings, TooManyIndices> {
         self.places.plan(now, settings, names)
     }
 
-    /// Goes by other settings, as [`Core::plan`] placed them, for queries that come from now on. What is known of servers
+    /// Goes by other settings, as [`Core::index_settings`] placed them, for queries that come from now on. What is known of servers
     /// stays. Until `bind` the settings before hold as to attempts, where they allow fewer.
-    pub fn retune(&mut self, placed: &Placed, max_open: usize, bind: Micros) {
+    pub fn retune(&mut self, placed: &IndexedSettings, max_open: usize, bind: Micros) {
         // A second change within the time of the first must not end that.
         let before = self.before.filter(|before| placed.at < before.until);
         let (attempts, wait) = (self.settings.max_attempts, self.places.longest_wait());
@@ -219,11 +224,11 @@
         self.settings = placed.settings.clone();
         self.max_open = max_open;
         self.aggregator.retune(self.shared_settings(), &placed.begun);
-        self.aggregator.forget_tenants(&placed.tenants_begun);
+        self.aggregator.forget_tenants(&placed.new_tenants);
     }
 
     /// All queries are over by then, whatever their clients would wait: those in hand, and those that come from now on.
-    pub fn answer_by(&mut self, at: Micros) {
+    pub fn finish_by(&mut self, at: Micros) {
         self.answer_by = at;
         self.aggregator.end_by(to_ms(at));
         for (was, query) in self.ends.split_off(&(at, QueryId::MAX)) {
@@ -236,7 +241,7 @@
     }
 
     /// The longest time that a client of any class in force waits; until other settings bind, by the shorter of both.
-    pub fn longest_wait(&self, now: Micros) -> Micros {
+    pub fn max_client_timeout(&self, now: Micros) -> Micros {
         let before = self.before.filter(|before| now < before.until).map(|before| before.wait);
         before.into_iter().chain([self.places.longest_wait()]).min().unwrap_or(0)
     }
@@ -249,12 +254,12 @@
     }
 
     /// The room that queries of other processes of this broker take.
-    pub fn set_elsewhere(&mut self, units: usize) {
+    pub fn set_sibling_units(&mut self, units: usize) {
         self.elsewhere = units;
     }
 
     /// So many processes are this broker from now on: what all brokers may send to a cold server is divided among more.
-    pub fn set_copies(&mut self, copies: u32) {
+    pub fn set_process_count(&mut self, copies: u32) {
         let copies = copies.max(1) as usize;
         if std::mem::replace(&mut self.copies, copies) != copies {
             self.aggregator.retune(self.shared_settings(), &[]);
@@ -286,10 +291,10 @@
     }
 
     /// Takes news of the list of servers. It counts from the next call on.
-    pub fn learn(&mut self, scope: ListScope, servers: Vec<ServerInfo>) {
+    pub fn update_servers(&mut self, scope: ListScope, servers: Vec<ServerInfo>) {
         let kind = match scope {
-            ListScope::Known => ListKind::Disk,
-            ListScope::Whole => ListKind::Complete,
+            ListScope::Cached => ListKind::Disk,
+            ListScope::Complete => ListKind::Complete,
             ListScope::Changes => ListKind::Changes,
         };
         let member = |s: ServerInfo| Member {
@@ -297,13 +302,13 @@
             cell: s.cell,
             state: s.state,
             zone: s.zone,
-            started: s.started.map(|at| at as f64 / MILLI as f64),
+            started: s.started_at.map(|at| at as f64 / MILLI as f64),
         };
         self.staged.push(Event::List { kind, members: servers.into_iter().map(member).collect() });
     }
 
     /// The query's client has gone away: nothing more is owed.
-    pub fn leave(&mut self, query: QueryId) {
+    pub fn client_gone(&mut self, query: QueryId) {
         if self.close(query) {
             self.staged.push(Event::Gone(RequestId::Query(query)));
         }
@@ -311,7 +316,7 @@
 
     /// No attempt at this part of a query can be sent any more: the query is to do without it. It counts from the next call
     /// on.
-    pub fn leave_out(&mut self, query: QueryId, part: usize) {
+    pub fn omit_part(&mut self, query: QueryId, part: usize) {
         if self.open.contains_key(&query) {
             self.staged.push(Event::Unreachable(part_id(query, part)));
         }
@@ -325,7 +330,7 @@
         for report in reports {
             let part = part_id(report.attempt.query, report.attempt.part);
             let attempt = report.attempt.attempt;
-            if let Some(since) = report.connected.map(to_ms) {
+            if let Some(since) = report.connected_at.map(to_ms) {
                 self.staged.push(Event::Connected { part: part.clone(), attempt, since });
             }
             let (outcome, elapsed, load) = (report.outcome, to_ms(report.elapsed), report.load);
@@ -344,15 +349,15 @@
         for q in queries {
             let needs = 1 + q.parts.len();
             if self.held + self.elsewhere + needs > self.max_open {
-                let retry_after = self.advice(q.class);
-                refused.push(Final { query: q.id, verdict: Verdict::Refuse { retry_after } });
+                let retry_after = self.retry_after_when_full(q.class);
+                refused.push(Completion { query: q.id, verdict: Verdict::Refuse { retry_after } });
                 continue;
             }
             self.held += needs;
-            let time_out = q.limits.time_out.map_or(Micros::MAX, |time_out| now.saturating_add(time_out));
+            let time_out = q.limits.timeout.map_or(Micros::MAX, |time_out| now.saturating_add(time_out));
             let give_up_at = q.give_up_at.min(time_out).min(self.answer_by);
             self.ends.insert((give_up_at, q.id));
-            let attempt_time_out = q.limits.attempt_time_out.unwrap_or(Micros::MAX);
+            let attempt_time_out = q.limits.attempt_timeout.unwrap_or(Micros::MAX);
             let attempts = vec![0; q.parts.len()];
             self.places.open(q.class, q.tenant);
             let (class, tenant) = (q.class, q.tenant);
@@ -364,7 +369,7 @@
                 tenant: TenantIndex(q.tenant),
                 give_up_at: to_ms(give_up_at),
                 patience_ends: to_ms(q.give_up_at),
-                max_attempts: [q.limits.attempts, before].into_iter().flatten().min(),
+                max_attempts: [q.limits.max_attempts, before].into_iter().flatten().min(),
                 again: q.again,
             }));
             self.staged.extend(q.parts.iter().enumerate().map(|(i, p)| {
@@ -373,13 +378,13 @@
                     group: q.id,
                     shard: p.shard,
                     weight: p.weight,
-                    work_hint: p.hint.map(to_ms),
+                    work_hint: p.work_hint.map(to_ms),
                 })
             }));
         }
         let mut decisions = self.run(now);
-        decisions.no_room = refused.len();
-        decisions.finals.extend(refused);
+        decisions.refused_full = refused.len();
+        decisions.completions.extend(refused);
         decisions
     }
 
@@ -400,17 +405,21 @@
         // Guards against a module that says nothing: what a broker took gets its answer before its time is up.
         let last = now + millis(self.settings.tick);
         while let Some(&(_, query)) = self.ends.first().filter(|(at, _)| *at <= last) {
-            self.leave(query);
-            decisions.finals.push(Final { query, verdict: Verdict::Fail });
+            self.client_gone(query);
+            decisions.completions.push(Completion { query, verdict: Verdict::Fail });
             decisions.overdue += 1;
         }
         decisions
     }
 
     /// The servers as the decisions see them, but for those that are gone, or of which nobody knows where they listen.
-    pub fn views(&self, now: Micros, address: impl Fn(&NodeId) -> Option<SocketAddr>) -> Vec<View> {
+    pub fn server_statuses(
+        &self,
+        now: Micros,
+        address: impl Fn(&NodeId) -> Option<SocketAddr>,
+    ) -> Vec<ServerStatus> {
         let view = |v: ServerView| {
-            Some(View {
+            Some(ServerStatus {
                 endpoint: address(&v.node)?,
                 name: v.node,
                 cell: v.cell,
@@ -436,20 +445,20 @@
     }
 
     /// Takes what others saw at the servers. It counts as attempts of the first class.
-    pub fn report_bulk(&mut self, now: Micros, reports: Vec<Seen>) {
-        let bulk = |s: Seen| Bulk {
+    pub fn report_bulk(&mut self, now: Micros, reports: Vec<ServerStats>) {
+        let bulk = |s: ServerStats| Bulk {
             node: s.server,
             served: s.served,
             errors: s.errors,
             lost: s.lost,
-            elapsed: s.elapsed.map(to_ms),
+            elapsed: s.mean_elapsed.map(to_ms),
         };
         let reports: Vec<Bulk> = reports.into_iter().map(bulk).collect();
         self.aggregator.report_bulk(to_ms(now), ClassIndex(0), &reports);
     }
 
     /// When [`Core::tick`] is due.
-    pub fn due(&self) -> Micros {
+    pub fn next_tick_at(&self) -> Micros {
         let margin = millis(self.settings.tick);
         let end = self.ends.first().map(|(at, _)| at.saturating_sub(margin));
         let wake = if self.staged.is_empty() { self.wake_at } else { Some(0) };
@@ -458,12 +467,12 @@
 
     /// Of a class in force: the share of its parts' weight that makes an answer whole, and the least that one may be given
     /// from. `None`: there is no such class.
-    pub fn shares(&self, class: usize) -> Option<(f64, f64)> {
+    pub fn need_and_floor(&self, class: usize) -> Option<(f64, f64)> {
         self.settings.classes.get(class).map(|c| (c.need, c.floor))
     }
 
     /// When a client is to come back whose query is refused before anything was sent for it; `None`: it isn't told.
-    pub fn advice(&self, class: usize) -> Option<Micros> {
+    pub fn retry_after_when_full(&self, class: usize) -> Option<Micros> {
         no_room_advice(&self.settings, class).map(millis)
     }
 
@@ -473,7 +482,7 @@
     }
 
     /// Queries and parts in hand.
-    pub fn held(&self) -> usize {
+    pub fn units_in_use(&self) -> usize {
         self.held
     }
 
@@ -496,11 +505,11 @@
                     let ends = |open: &Open| open.give_up_at.min(now.saturating_add(open.attempt_time_out));
                     let ends = self.open.get(&attempt.query).map_or(now, ends);
                     let until = within.map_or(ends, |ms| ends.min(now + millis(ms)));
-                    decisions.dispatches.push(Dispatch { attempt, server: node, until });
+                    decisions.dispatches.push(Dispatch { attempt, server: node, deadline: until });
                 }
                 Action::Cancel { part, attempt } => {
                     if let Some((query, part)) = of_part(&part) {
-                        decisions.give_up.push(AttemptId { query, part, attempt });
+                        decisions.cancel.push(AttemptId { query, part, attempt });
                     }
                 }
                 Action::Answer { query, whole } => {
@@ -523,7 +532,7 @@
         if let RequestId::Query(query) = *query
             && self.close(query)
         {
-            decisions.finals.push(Final { query, verdict });
+            decisions.completions.push(Completion { query, verdict });
         }
     }
 
@@ -568,21 +577,21 @@
             cell: 0,
             state: NodeState::Serving,
             zone: None,
-            started: None,
+            started_at: None,
         };
-        core.learn(ListScope::Known, (0..2).map(server).collect());
+        core.update_servers(ListScope::Cached, (0..2).map(server).collect());
         core
     }
 
     fn query(id: QueryId, shards: &[usize]) -> Query {
         let weight = 1.0 / shards.len() as f64;
-        let parts = shards.iter().map(|&shard| PartSpec { shard, weight, hint: None }).collect();
+        let parts = shards.iter().map(|&shard| PartSpec { shard, weight, work_hint: None }).collect();
         let limits = Arc::default();
         Query { id, class: 0, tenant: 0, give_up_at: 1_000_000, limits, again: false, parts }
     }
 
     fn ended(attempt: AttemptId, outcome: Outcome) -> Report {
-        Report { attempt, outcome, elapsed: 20_000, load: None, connected: None }
+        Report { attempt, outcome, elapsed: 20_000, load: None, connected_at: None }
     }
 
     #[test]
@@ -590,15 +599,15 @@
         let mut core = core(10);
         let first = core.pick(1000, vec![query(1, &[0, 1])]).dispatches;
         assert_eq!(first.iter().map(|d| d.attempt.part).collect::<Vec<_>>(), [0, 1]);
-        assert!(first.iter().all(|d| d.attempt.attempt == 0 && d.until <= 1_000_000));
+        assert!(first.iter().all(|d| d.attempt.attempt == 0 && d.deadline <= 1_000_000));
         let attempts = first.iter().map(|d| d.attempt);
         let outcomes = [Outcome::Served, Outcome::Full];
         let again = core.report(30_000, attempts.zip(outcomes).map(|(a, o)| ended(a, o)).collect());
-        assert_eq!(again.finals, []);
+        assert_eq!(again.completions, []);
         assert_eq!(again.dispatches[0].attempt, AttemptId { query: 1, part: 1, attempt: 1 });
         let last = core.report(60_000, vec![ended(again.dispatches[0].attempt, Outcome::Served)]);
-        assert_eq!(last.finals, [Final { query: 1, verdict: Verdict::Answer { whole: true } }]);
-        assert_eq!((core.held(), core.tick(2_000_000).finals), (0, vec![]));
+        assert_eq!(last.completions, [Completion { query: 1, verdict: Verdict::Answer { whole: true } }]);
+        assert_eq!((core.units_in_use(), core.tick(2_000_000).completions), (0, vec![]));
     }
 
     /// Beyond MaxOpen the simulator never hands a query over, so that the module does not expect one.
@@ -607,15 +616,15 @@
         let mut core = core(3);
         let both = core.pick(1000, vec![query(1, &[0, 1]), query(2, &[2])]);
         assert!(matches!(
-            both.finals[..],
-            [Final { query: 2, verdict: Verdict::Refuse { retry_after: Some(_) } }]
+            both.completions[..],
+            [Completion { query: 2, verdict: Verdict::Refuse { retry_after: Some(_) } }]
         ));
-        assert_eq!((core.held(), both.dispatches.len(), both.no_room), (3, 2, 1));
-        core.leave(1);
-        core.leave(1);
-        assert_eq!(core.held(), 0);
+        assert_eq!((core.units_in_use(), both.dispatches.len(), both.refused_full), (3, 2, 1));
+        core.client_gone(1);
+        core.client_gone(1);
+        assert_eq!(core.units_in_use(), 0);
         let next = core.pick(6000, vec![query(3, &[2])]);
-        assert_eq!((next.give_up.len(), next.dispatches.len(), core.held()), (2, 1, 2));
+        assert_eq!((next.cancel.len(), next.dispatches.len(), core.units_in_use()), (2, 1, 2));
     }
 
     /// Whatever the module does, a query is not left to run out of time.
@@ -624,10 +633,10 @@
         let mut core = core(10);
         core.pick(1000, vec![query(1, &[0])]);
         core.aggregator = Aggregator::new(core.settings.clone(), 7);
-        assert!(core.due() <= 1_000_000 - 5000);
+        assert!(core.next_tick_at() <= 1_000_000 - 5000);
         let late = core.tick(995_000);
-        assert_eq!(late.finals, [Final { query: 1, verdict: Verdict::Fail }]);
-        assert_eq!((late.overdue, core.held()), (1, 0));
+        assert_eq!(late.completions, [Completion { query: 1, verdict: Verdict::Fail }]);
+        assert_eq!((late.overdue, core.units_in_use()), (1, 0));
     }
 
     #[test]
@@ -635,9 +644,9 @@
         let mut core = core(100);
         let name = core.pick(1000, vec![query(1, &[0])]).dispatches[0].server.clone();
         let state = NodeState::Draining;
-        core.learn(
+        core.update_servers(
             ListScope::Changes,
-            vec![ServerInfo { name: name.clone(), cell: 0, state, zone: None, started: None }],
+            vec![ServerInfo { name: name.clone(), cell: 0, state, zone: None, started_at: None }],
         );
         for id in 2..20 {
             let sent = core.pick(6000, vec![query(id, &[0])]).dispatches;
@@ -651,14 +660,14 @@
     fn a_query_keeps_to_the_limits_that_are_set_for_it() {
         let mut core = core(10);
         let limits = QueryLimits {
-            time_out: Some(300_000),
-            attempt_time_out: Some(50_000),
-            attempts: Some(2),
+            timeout: Some(300_000),
+            attempt_timeout: Some(50_000),
+            max_attempts: Some(2),
             ..QueryLimits::default()
         };
         let limited = Query { limits: Arc::new(limits), ..query(1, &[0]) };
         let sent = core.pick(1000, vec![limited, query(2, &[1])]).dispatches;
-        let until = |id: QueryId| sent.iter().find(|d| d.attempt.query == id).unwrap().until;
+        let until = |id: QueryId| sent.iter().find(|d| d.attempt.query == id).unwrap().deadline;
         assert!(until(1) == 51_000 && until(2) > 51_000, "{sent:?}");
         let mut attempts = 1;
         let mut now = 1000;
@@ -666,32 +675,37 @@
         while now < 302_000 && !ended {
             now += 50_000;
             let attempt = AttemptId { query: 1, part: 0, attempt: attempts - 1 };
-            let timed_out =
-                Report { attempt, outcome: Outcome::TimedOut, elapsed: 50_000, load: None, connected: None };
+            let timed_out = Report {
+                attempt,
+                outcome: Outcome::TimedOut,
+                elapsed: 50_000,
+                load: None,
+                connected_at: None,
+            };
             let report = core.report(now, vec![timed_out]);
             let mut all = vec![report, core.tick(now)];
             now += 20_000;
             all.push(core.tick(now));
             attempts +=
                 all.iter().flat_map(|d| &d.dispatches).filter(|d| d.attempt.query == 1).count() as u32;
-            ended = all.iter().flat_map(|d| &d.finals).any(|f| f.query == 1);
+            ended = all.iter().flat_map(|d| &d.completions).any(|f| f.query == 1);
         }
         assert!(ended && attempts <= 2 && now <= 301_000, "{attempts} attempts, {now}");
-        assert!(core.due() > now, "the other one is in hand still");
+        assert!(core.next_tick_at() > now, "the other one is in hand still");
     }
 
     /// A query that hears nothing ends at the time-out that is set for it, long before its client gives up.
     #[test]
     fn a_time_out_ends_a_query_before_its_client_does() {
         let mut core = core(10);
-        let limits = QueryLimits { time_out: Some(300_000), ..QueryLimits::default() };
+        let limits = QueryLimits { timeout: Some(300_000), ..QueryLimits::default() };
         core.pick(1000, vec![Query { limits: Arc::new(limits), ..query(1, &[0]) }]);
         let mut now = 1000;
         let mut ended = false;
         while !ended {
-            now = core.due().max(now + 1000);
+            now = core.next_tick_at().max(now + 1000);
             assert!(now <= 301_000, "it is in hand still");
-            ended = core.tick(now).finals.iter().any(|f| f.query == 1);
+            ended = core.tick(now).completions.iter().any(|f| f.query == 1);
         }
     }
 }
--- a/crates/core/tests/day.rs
+++ b/crates/core/tests/day.rs
@@ -143,7 +143,7 @@
 impl Server {
     fn info(&self, n: usize, state: NodeState) -> ServerInfo {
         let (cell, zone, started) = (self.cell, Some(self.zone), self.started.map(|at| at as i64));
-        ServerInfo { name: NodeId(format!("s{n:02}").into()), cell, state, zone, started }
+        ServerInfo { name: NodeId(format!("s{n:02}").into()), cell, state, zone, started_at: started }
     }
 
     /// Works for a tick; what is done by then.
@@ -210,9 +210,9 @@
         let servers: Vec<Server> = (0..3 * set.cells).map(server).collect();
         let broker = |n: usize| {
             let set = Settings { zone: Some(n % zones), ..set.clone() };
-            let mut core = Core::new(set, config.max_open, 11 + n as u64).named(&config.names);
+            let mut core = Core::new(set, config.max_open, 11 + n as u64).with_names(&config.names);
             let list = servers.iter().enumerate().map(|(n, s)| s.info(n, NodeState::Serving)).collect();
-            core.learn(ListScope::Known, list);
+            core.update_servers(ListScope::Cached, list);
             core
         };
         let mut ahead = events(servers.len());
@@ -262,7 +262,7 @@
             let specs = works.iter().enumerate().map(|(i, w)| PartSpec {
                 shard: (first + i) % self.set.shards,
                 weight,
-                hint: self.load.hints.then(|| hint(w)),
+                work_hint: self.load.hints.then(|| hint(w)),
             });
             let (id, tenant) = (self.next, self.chance.pick(self.load.tenants));
             self.next += 1;
@@ -294,7 +294,7 @@
             outcome,
             elapsed: now - sent,
             load: None,
-            connected: None,
+            connected_at: None,
         });
     }
 
@@ -332,16 +332,16 @@
     }
 
     fn carry_out(&mut self, now: Micros, broker: usize, decisions: Decisions) {
-        for attempt in decisions.give_up {
+        for attempt in decisions.cancel {
             self.ended(now, broker, attempt, Outcome::Cancelled);
         }
-        for end in decisions.finals {
+        for end in decisions.completions {
             self.account(now, end.query, end.verdict);
         }
         let mut calls: BTreeMap<usize, usize> = BTreeMap::new();
         for d in decisions.dispatches {
             let server: usize = d.server.0[1..].parse().unwrap();
-            self.out.insert((broker, d.attempt), (now, d.until, server));
+            self.out.insert((broker, d.attempt), (now, d.deadline, server));
             if !self.servers[server].up {
                 self.ended(now, broker, d.attempt, Outcome::NoConnection);
                 continue;
@@ -358,7 +358,7 @@
 
     fn tell(&mut self, n: usize, state: NodeState) {
         let info = self.servers[n].info(n, state);
-        self.cores.iter_mut().for_each(|core| core.learn(ListScope::Changes, vec![info.clone()]));
+        self.cores.iter_mut().for_each(|core| core.update_servers(ListScope::Changes, vec![info.clone()]));
     }
 
     fn happens(&mut self, now: Micros, event: Event) {
--- a/crates/core/tests/ending.rs
+++ b/crates/core/tests/ending.rs
@@ -28,15 +28,15 @@
 }
 
 fn core(config: &Config) -> Core {
-    let mut core = Core::new(config.settings.clone(), 10, 7).named(&config.names);
+    let mut core = Core::new(config.settings.clone(), 10, 7).with_names(&config.names);
     let server = |n: usize| ServerInfo {
         name: NodeId(format!("s{n}").into()),
         cell: 0,
         state: brookbend::api::NodeState::Serving,
         zone: None,
-        started: None,
+        started_at: None,
     };
-    core.learn(ListScope::Known, (0..2).map(server).collect());
+    core.update_servers(ListScope::Cached, (0..2).map(server).collect());
     core
 }
 
@@ -44,7 +44,7 @@
 #[test]
 fn queries_in_hand_are_over_by_the_end_too() {
     let mut core = core(&config(&[60_000.0; 3]));
-    let part = PartSpec { shard: 0, weight: 1.0, hint: None };
+    let part = PartSpec { shard: 0, weight: 1.0, work_hint: None };
     let query = |id, give_up_at| {
         let parts = vec![part.clone()];
         Query { id, class: 0, tenant: 0, give_up_at, limits: Arc::default(), again: false, parts }
@@ -52,14 +52,14 @@
     // The second is over before.
     assert_eq!(core.pick(MILLI, vec![query(1, 60 * SECOND), query(2, SECOND)]).dispatches.len(), 2);
     let end = 3 * SECOND;
-    core.answer_by(end);
+    core.finish_by(end);
     let mut now = MILLI;
     let mut finals = Vec::new();
-    while core.held() > 0 {
-        now = core.due().max(now + TICK);
+    while core.units_in_use() > 0 {
+        now = core.next_tick_at().max(now + TICK);
         assert!(now <= end, "{finals:?}");
         let decisions = core.tick(now);
-        finals.extend(decisions.finals.into_iter().map(|f| (f.query, now, f.verdict)));
+        finals.extend(decisions.completions.into_iter().map(|f| (f.query, now, f.verdict)));
         assert_eq!(decisions.overdue, 0, "the decisions know of it");
     }
     assert!(matches!(finals[..], [(2, _, _), (1, _, Verdict::Refuse { .. } | Verdict::Fail)]), "{finals:?}");
@@ -70,9 +70,9 @@
 #[test]
 fn the_longest_wait_is_that_of_a_class_in_force() {
     let mut core = core(&config(&[1000.0, 1500.0, 60_000.0]));
-    assert_eq!(core.longest_wait(0), 60 * SECOND);
+    assert_eq!(core.max_client_timeout(0), 60 * SECOND);
     let other = config(&[1000.0, 1500.0]);
-    let placed = core.plan(SECOND, &other.settings, &other.names).unwrap();
+    let placed = core.index_settings(SECOND, &other.settings, &other.names).unwrap();
     core.retune(&placed, 10, SECOND);
-    assert_eq!(core.longest_wait(2 * SECOND), 1500 * MILLI);
+    assert_eq!(core.max_client_timeout(2 * SECOND), 1500 * MILLI);
 }
--- a/crates/core/tests/fleet_lists.rs
+++ b/crates/core/tests/fleet_lists.rs
@@ -64,7 +64,7 @@
             let mut targets: Targets = serde_json::from_str(text).unwrap();
             self.ledger.take(self.now, &mut targets);
             let servers = targets.servers(&[], |ms| ms);
-            self.core.learn(targets.scope(), servers);
+            self.core.update_servers(targets.scope(), servers);
             drop(targets);
             self.core.tick(self.now);
         })
--- a/crates/core/tests/places.rs
+++ b/crates/core/tests/places.rs
@@ -2,7 +2,7 @@
 
 use brookbend::api::{Class, NodeState, Settings};
 use brookbend::settings::{Message, decode};
-use plover_core::{Core, MOST_PLACES, Query};
+use plover_core::{Core, MAX_INDICES, Query};
 use plover_model::query::{Names, PartSpec, QueryId};
 use plover_model::server::{ListScope, NodeId, ServerInfo};
 use plover_model::time::{Micros, SECOND, millis};
@@ -18,25 +18,25 @@
 }
 
 fn core(settings: &Settings, names: &Names) -> Core {
-    let mut core = Core::new(settings.clone(), 1000, 7).named(names);
+    let mut core = Core::new(settings.clone(), 1000, 7).with_names(names);
     let server = |n: usize| ServerInfo {
         name: NodeId(format!("s{n}").into()),
         cell: 0,
         state: NodeState::Serving,
         zone: None,
-        started: None,
+        started_at: None,
     };
-    core.learn(ListScope::Known, (0..2).map(server).collect());
+    core.update_servers(ListScope::Cached, (0..2).map(server).collect());
     core
 }
 
 fn query(id: QueryId, class: usize, tenant: usize, give_up_at: Micros) -> Query {
-    let parts = vec![PartSpec { shard: 0, weight: 1.0, hint: None }];
+    let parts = vec![PartSpec { shard: 0, weight: 1.0, work_hint: None }];
     Query { id, class, tenant, give_up_at, limits: Arc::default(), again: false, parts }
 }
 
 fn take(core: &mut Core, now: Micros, file: &(Settings, Names)) -> (Settings, Names) {
-    let placed = core.plan(now, &file.0, &file.1).unwrap();
+    let placed = core.index_settings(now, &file.0, &file.1).unwrap();
     core.retune(&placed, 1000, now + SECOND);
     (placed.settings, placed.names)
 }
@@ -101,7 +101,7 @@
 fn admit(core: &mut Core, now: Micros, r: Read, open: &mut Vec<Read>) {
     let decisions = core.pick(now, vec![query(r.id, r.class.0, r.tenant.0, now + 3600 * SECOND)]);
     open.push(r);
-    open.retain(|r| decisions.finals.iter().all(|f| f.query != r.id));
+    open.retain(|r| decisions.completions.iter().all(|f| f.query != r.id));
 }
 
 proptest! {
@@ -132,7 +132,7 @@
                     }
                 }
                 Move::Admit => read.drain(..).for_each(|r| admit(&mut core, now, r, &mut open)),
-                Move::End(n) if !open.is_empty() => core.leave(open.swap_remove(n % open.len()).id),
+                Move::End(n) if !open.is_empty() => core.client_gone(open.swap_remove(n % open.len()).id),
                 Move::End(_) => {}
                 Move::Wait(seconds) => {
                     // Whoever was read is admitted within seconds, and read by the terms before for seconds alone.
@@ -143,7 +143,7 @@
                         before = placed.clone();
                     }
                     now += seconds * SECOND;
-                    let finals = core.tick(now).finals;
+                    let finals = core.tick(now).completions;
                     open.retain(|r| finals.iter().all(|f| f.query != r.id));
                 }
             }
@@ -161,11 +161,12 @@
 fn tenants_may_change_without_end() {
     let mut core = core(&file(&[(0, 0)], &[(0, 1)]).0, &file(&[(0, 0)], &[(0, 1)]).1);
     core.pick(0, vec![query(1, 0, 0, 100_000 * SECOND)]);
-    for n in 1..3 * MOST_PLACES {
+    for n in 1..3 * MAX_INDICES {
         let now = n as Micros * 40 * SECOND;
-        let placed = core.plan(now, &file(&[(0, 0)], &[(n, 1)]).0, &file(&[(0, 0)], &[(n, 1)]).1).unwrap();
+        let placed =
+            core.index_settings(now, &file(&[(0, 0)], &[(n, 1)]).0, &file(&[(0, 0)], &[(n, 1)]).1).unwrap();
         let index = placed.names.tenant(format!("tenant{n}").as_bytes()).unwrap();
-        assert_eq!((index > 0, placed.tenants_begun.as_slice()), (true, [index].as_slice()));
+        assert_eq!((index > 0, placed.new_tenants.as_slice()), (true, [index].as_slice()));
         core.retune(&placed, 1000, now);
     }
 }
@@ -175,13 +176,13 @@
 fn tenants_come_where_there_were_none() {
     let none = file(&[(0, 0)], &[]);
     let mut core = core(&none.0, &none.1);
-    assert_eq!(none.1.only_tenant(), Some(0));
+    assert_eq!(none.1.implicit_tenant(), Some(0));
     let (same, names) = take(&mut core, 0, &none);
-    assert_eq!((names.only_tenant(), same.tenants.len()), (Some(0), 1));
+    assert_eq!((names.implicit_tenant(), same.tenants.len()), (Some(0), 1));
     let (_, names) = take(&mut core, 0, &file(&[(0, 0)], &[(0, 1), (1, 1)]));
-    assert_eq!((names.only_tenant(), names.tenant(b"tenant0"), names.tenant(b"")), (None, Some(1), None));
+    assert_eq!((names.implicit_tenant(), names.tenant(b"tenant0"), names.tenant(b"")), (None, Some(1), None));
     let (_, names) = take(&mut core, 0, &none);
-    assert_eq!((names.only_tenant(), names.tenant(b"tenant0")), (Some(0), None));
+    assert_eq!((names.implicit_tenant(), names.tenant(b"tenant0")), (Some(0), None));
 }
 
 /// The share of a tenant that has left is that of its queries still: they are not beyond it all at once.
@@ -214,14 +215,14 @@
     let (mut settings, names) = settings();
     settings.classes.iter_mut().for_each(|c| c.give_up = 4000.0);
     let mut core = core(&settings, &names);
-    assert_eq!(core.longest_wait(0), millis(4000.0));
+    assert_eq!(core.max_client_timeout(0), millis(4000.0));
     let mut shorter = settings.clone();
     shorter.classes.iter_mut().for_each(|c| c.give_up = 300.0);
     take(&mut core, 0, &(shorter, names.clone()));
-    assert_eq!(core.longest_wait(10 * SECOND), millis(300.0));
+    assert_eq!(core.max_client_timeout(10 * SECOND), millis(300.0));
     take(&mut core, 10 * SECOND, &(settings, names));
-    assert_eq!(core.longest_wait(11 * SECOND - 1), millis(300.0), "not yet");
-    assert_eq!(core.longest_wait(11 * SECOND), millis(4000.0));
+    assert_eq!(core.max_client_timeout(11 * SECOND - 1), millis(300.0), "not yet");
+    assert_eq!(core.max_client_timeout(11 * SECOND), millis(4000.0));
 }
 
 /// The process is to end before a client's time is over: what is in hand is over by then too.
@@ -230,13 +231,13 @@
     let (settings, names) = settings();
     let mut core = core(&settings, &names);
     core.pick(0, vec![query(1, 0, 0, 60 * SECOND), query(2, 0, 0, SECOND)]);
-    core.answer_by(3 * SECOND);
+    core.finish_by(3 * SECOND);
     core.pick(10, vec![query(3, 0, 0, 60 * SECOND)]);
     let (mut ended, mut now) = (Vec::new(), 10);
     while ended.len() < 3 {
-        now = core.due().max(now + 1000);
+        now = core.next_tick_at().max(now + 1000);
         assert!(now <= 3 * SECOND, "{ended:?}");
-        ended.extend(core.tick(now).finals.iter().map(|f| f.query));
+        ended.extend(core.tick(now).completions.iter().map(|f| f.query));
     }
     ended.sort_unstable();
     assert_eq!(ended, [1, 2, 3]);
@@ -261,14 +262,14 @@
                 outcome: Outcome::Full,
                 elapsed: 1000,
                 load: None,
-                connected: None,
+                connected_at: None,
             };
             now += 1000;
             let mut decisions = core.report(now, out.drain(..).map(failed).collect());
             let tick = core.tick(now);
-            decisions.finals.extend(tick.finals);
+            decisions.completions.extend(tick.completions);
             out = decisions.dispatches.into_iter().chain(tick.dispatches).collect();
-            if decisions.finals.iter().any(|f| f.query == id) {
+            if decisions.completions.iter().any(|f| f.query == id) {
                 return made;
             }
             assert!(now < 1000 * SECOND);
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -126,7 +126,7 @@
     let (id, last) = (query.id, query.give_up_at);
     let mut decisions = core.pick(*now, vec![query]);
     loop {
-        if let Some(end) = decisions.finals.iter().find(|f| f.query == id) {
+        if let Some(end) = decisions.completions.iter().find(|f| f.query == id) {
             return Some(end.verdict);
         }
         let sent: Vec<_> = std::mem::take(&mut decisions.dispatches);
@@ -134,12 +134,12 @@
             *now += 20_000;
             let served = |d: plover_core::Dispatch| {
                 let (attempt, outcome) = (d.attempt, Outcome::Served);
-                Report { attempt, outcome, elapsed: 20_000, load: None, connected: None }
+                Report { attempt, outcome, elapsed: 20_000, load: None, connected_at: None }
             };
             decisions = core.report(*now, sent.into_iter().map(served).collect());
             continue;
         }
-        *now = core.due().max(*now + 5000);
+        *now = core.next_tick_at().max(*now + 5000);
         if *now > last {
             return None;
         }
@@ -150,15 +150,15 @@
 /// Asks each class, several times, with seconds between: what is counted by the second is divided by then. Last, nobody
 /// answers, and each query ends all the same.
 fn serve(config: Config, of: &str) {
-    let mut core = Core::new(config.settings.clone(), config.max_open, config.seed).named(&config.names);
+    let mut core = Core::new(config.settings.clone(), config.max_open, config.seed).with_names(&config.names);
     let server = |n: usize| ServerInfo {
         name: NodeId(format!("s{n}").into()),
         cell: n % config.settings.cells,
         state: NodeState::Serving,
         zone: Some(n % 3),
-        started: None,
+        started_at: None,
     };
-    core.learn(ListScope::Known, (0..8).map(server).collect());
+    core.update_servers(ListScope::Cached, (0..8).map(server).collect());
     let (mut now, mut id) = (10_000, 0);
     for round in 0..5 {
         for class in &config.names.classes {
@@ -170,9 +170,9 @@
                 id,
                 class: ask.class,
                 tenant: ask.tenant,
-                give_up_at: now + ask.patience,
+                give_up_at: now + ask.client_timeout,
                 limits: ask.limits,
-                again: ask.again,
+                again: ask.is_retry,
                 parts: ask.parts,
             };
             let end = run(&mut core, &mut now, query, round < 4);
@@ -182,7 +182,7 @@
         now += 1200 * 1000;
         let _: Decisions = core.tick(now);
     }
-    assert_eq!(core.held(), 0, "{of}");
+    assert_eq!(core.units_in_use(), 0, "{of}");
     assert!(now < 600 * SECOND);
 }
 
--- a/crates/core/tests/simulated/day.rs
+++ b/crates/core/tests/simulated/day.rs
@@ -151,9 +151,9 @@
             cell: n % fleet.shards,
             state: NodeState::Serving,
             zone: None,
-            started: None,
+            started_at: None,
         };
-        core.learn(ListScope::Known, (0..fleet.shards * fleet.holders).map(server).collect());
+        core.update_servers(ListScope::Cached, (0..fleet.shards * fleet.holders).map(server).collect());
         Day {
             core,
             now: START,
@@ -223,7 +223,7 @@
             self.ending_at.remove(&attempt);
             let (outcome, elapsed) = (out.outcome, now - out.sent);
             let connected = (outcome == Outcome::Served).then_some(START);
-            reports.push(Report { attempt, outcome, elapsed, load: None, connected });
+            reports.push(Report { attempt, outcome, elapsed, load: None, connected_at: connected });
         }
         let mut queries = Vec::new();
         let mut asking_time = 0;
@@ -252,7 +252,7 @@
         let (class, parts, at) = (self.asked[&id].class, self.asked[&id].parts, self.asked[&id].at);
         let shards = self.fleet.shards;
         let first = if parts < shards { (self.chance() * shards as f64) as usize } else { 0 };
-        let part = |n| PartSpec { shard: (first + n) % shards, weight: 1.0 / parts as f64, hint: None };
+        let part = |n| PartSpec { shard: (first + n) % shards, weight: 1.0 / parts as f64, work_hint: None };
         Query {
             id,
             class,
@@ -273,19 +273,19 @@
             let takes = ((self.work)(class, server) as f64 * (0.5 + self.chance())) as Micros;
             let hangs = self.hang_next.take_if(|of| *of == class).is_some();
             let answer = if hangs { Micros::MAX } else { self.now + takes };
-            let until = dispatch.until.max(self.now);
+            let until = dispatch.deadline.max(self.now);
             let outcome = if answer <= until { Outcome::Served } else { Outcome::TimedOut };
             let end = answer.min(until);
             self.out.insert((end, dispatch.attempt), Out { sent: decided, outcome });
             self.ending_at.insert(dispatch.attempt, end);
         }
         let cancelled: Vec<Report> =
-            decisions.give_up.into_iter().filter_map(|attempt| self.cancel(attempt, decided)).collect();
+            decisions.cancel.into_iter().filter_map(|attempt| self.cancel(attempt, decided)).collect();
         if !cancelled.is_empty() {
             let further = self.core.report(decided, cancelled);
             self.carry_out(decided, further);
         }
-        for end in decisions.finals {
+        for end in decisions.completions {
             let Some(asked) = self.asked.remove(&end.query) else { continue };
             let served = matches!(end.verdict, Verdict::Answer { .. }).then_some(self.now);
             self.ends.push(End { class: asked.class, parts: asked.parts, asked: asked.at, served });
@@ -301,7 +301,7 @@
             outcome: Outcome::Cancelled,
             elapsed: decided - out.sent,
             load: None,
-            connected: None,
+            connected_at: None,
         })
     }
 
--- a/crates/core/tests/wide.rs
+++ b/crates/core/tests/wide.rs
@@ -19,9 +19,9 @@
         cell: 0,
         state: NodeState::Serving,
         zone: None,
-        started: None,
+        started_at: None,
     };
-    core.learn(ListScope::Known, (0..servers).map(server).collect());
+    core.update_servers(ListScope::Cached, (0..servers).map(server).collect());
     core
 }
 
@@ -29,7 +29,7 @@
 #[test]
 fn parts_keep_their_numbers_beyond_a_thousand() {
     let mut core = core(4);
-    let part = PartSpec { shard: 0, weight: 1.0 / PARTS as f64, hint: None };
+    let part = PartSpec { shard: 0, weight: 1.0 / PARTS as f64, work_hint: None };
     let query = |id| Query {
         id,
         class: 0,
@@ -45,10 +45,10 @@
     assert!(numbers == all, "{:?}", &numbers[..10]);
     let (last, rest) = sent.split_last().unwrap();
     let served =
-        |a| Report { attempt: a, outcome: Outcome::Served, elapsed: 2000, load: None, connected: None };
-    let first = core.report(4000, rest.iter().map(|d| served(d.attempt)).collect()).finals;
+        |a| Report { attempt: a, outcome: Outcome::Served, elapsed: 2000, load: None, connected_at: None };
+    let first = core.report(4000, rest.iter().map(|d| served(d.attempt)).collect()).completions;
     assert_eq!(first.iter().map(|f| f.query).collect::<Vec<_>>(), [9], "the other one misses a part");
-    let then = core.report(5000, vec![served(last.attempt)]).finals;
+    let then = core.report(5000, vec![served(last.attempt)]).completions;
     assert_eq!((then[0].query, then[0].verdict), (10, Verdict::Answer { whole: true }));
-    assert_eq!(core.held(), 0);
+    assert_eq!(core.units_in_use(), 0);
 }
--- a/crates/director/examples/hub_growth.rs
+++ b/crates/director/examples/hub_growth.rs
@@ -48,7 +48,7 @@
 
 fn server(n: usize, cells: usize, state: NodeState) -> (ServerInfo, Option<SocketAddr>) {
     let name = NodeId(format!("s{n:05}").into());
-    (ServerInfo { name, cell: n % cells, state, zone: Some(0), started: None }, Some(address(n)))
+    (ServerInfo { name, cell: n % cells, state, zone: Some(0), started_at: None }, Some(address(n)))
 }
 
 /// The least of some times, in microseconds: what others do on the machine only adds.
@@ -59,7 +59,7 @@
 fn measure(proxies: usize, endpoints: usize, cells: usize) -> serde_json::Value {
     let mut director = director(cells);
     let all = (0..endpoints).map(|n| server(n, cells, NodeState::Serving)).collect();
-    director.learn(0, ListScope::Whole, all);
+    director.learn(0, ListScope::Complete, all);
     for id in 0..proxies as u64 {
         director.opened(0, id, Node { id: format!("p{id}").into(), heeds_time_to_live: true });
         director.asked(id, Kind::Endpoints, &[]);
--- a/crates/director/src/lib.rs
+++ b/crates/director/src/lib.rs
@@ -14,14 +14,14 @@
 pub use proxies::{Node, StreamId};
 pub use reports::{ClusterLoad, EndpointLoad};
 
-use plover_core::{Core, Seen};
+use plover_core::{Core, ServerStats};
 use plover_model::server::{ListScope, NodeId, NodeState, ServerInfo};
 use plover_model::time::{Micros, SECOND};
 use plover_steering::assign::{Cell, Instance, cells, is_cold};
 use plover_steering::leases::{Leases, Times};
 use plover_steering::loans::{self, Answer, Loans, Word};
 use plover_steering::quorum::{Place, Quorum};
-use plover_steering::{View, cold, quorum};
+use plover_steering::{ServerStatus, cold, quorum};
 use plover_xds::{Kind, Snapshot, View as Told};
 use plover_xds_resources::{Builder, Frame};
 use proxies::Proxies;
@@ -171,7 +171,7 @@
         self.names = self.addresses.iter().map(|(n, a)| (*a, n.clone())).collect();
         self.whole |= whole;
         self.known |= self.whole && !self.addresses.is_empty();
-        self.core.learn(scope, servers.into_iter().map(|(s, _)| s).collect());
+        self.core.update_servers(scope, servers.into_iter().map(|(s, _)| s).collect());
         // The module takes the list with its next event: before that, its views are the old ones.
         let _ = self.core.tick(now);
         self.next_look = now;
@@ -240,7 +240,7 @@
         }
         let rule = &self.figures.cold;
         let cold = self.views(now).into_iter().filter(|v| self.cold.contains_key(&v.name));
-        let part = |v: View| {
+        let part = |v: ServerStatus| {
             let whole = rule.most_out(now.saturating_sub(v.cold_since.unwrap_or(now)));
             let part = self.figures.instance.part(&v.name, whole);
             (v.name, whole, part)
@@ -304,7 +304,7 @@
             views.iter().map(|v| Place { server: v.name.clone(), cell: v.cell, zone: v.zone }).collect();
         let out = self.quorum.judge(now, &places, self.proxies.nodes());
         let failing: BTreeSet<&NodeId> = out.keys().collect();
-        let seen: Vec<Seen> = self.reports.drain(&failing);
+        let seen: Vec<ServerStats> = self.reports.drain(&failing);
         if !seen.is_empty() {
             self.core.report_bulk(now, seen);
             views = self.views(now);
@@ -349,13 +349,13 @@
         true
     }
 
-    fn views(&self, now: Micros) -> Vec<View> {
-        self.core.views(now, |name| self.addresses.get(name).copied())
+    fn views(&self, now: Micros) -> Vec<ServerStatus> {
+        self.core.server_statuses(now, |name| self.addresses.get(name).copied())
     }
 
     /// Notes which servers are cold, and with which change of its cell's endpoints each was left out. True: the set
     /// differs from before.
-    fn note_cold(&mut self, now: Micros, views: &[View]) -> bool {
+    fn note_cold(&mut self, now: Micros, views: &[ServerStatus]) -> bool {
         let rule = &self.figures.cold;
         let cold = views.iter().filter(|v| v.state == NodeState::Serving && is_cold(v, now, rule));
         let mut noted = BTreeMap::new();
@@ -370,7 +370,7 @@
 
     /// Deals the cold servers out. One that some proxy may still take for warm is dealt to nobody: what that proxy sends
     /// there has no limit, so that nothing may come on top of it.
-    fn deal(&mut self, now: Micros, views: &[View]) {
+    fn deal(&mut self, now: Micros, views: &[ServerStatus]) {
         self.next_beat = now + (self.figures.times.time_to_live / BEATS).max(1);
         if self.cold.is_empty() {
             self.next_beat = Micros::MAX;
@@ -380,11 +380,11 @@
             self.next_beat = self.next_beat.max(self.quiet_until);
             return self.proxies.deal(BTreeMap::new(), self.beat);
         }
-        let heard = |v: &&View| match self.cold.get(&v.name) {
+        let heard = |v: &&ServerStatus| match self.cold.get(&v.name) {
             Some(change) => self.proxies.all_heard(now, v.cell, *change),
             None => true,
         };
-        let views: Vec<View> = views.iter().filter(heard).cloned().collect();
+        let views: Vec<ServerStatus> = views.iter().filter(heard).cloned().collect();
         let holders = self.proxies.that_may_lease();
         let dealt = plover_steering::assign::deal(
             now,
--- a/crates/director/src/reports.rs
+++ b/crates/director/src/reports.rs
@@ -1,6 +1,6 @@
 //! What proxies report of their load.
 
-use plover_core::Seen;
+use plover_core::ServerStats;
 use plover_model::server::NodeId;
 use plover_model::time::{Micros, SECOND};
 use plover_steering::assign::Traffic;
@@ -102,11 +102,11 @@
 
     /// What the decisions are to hear of it since the last turn. Failures count only where a quorum of proxies found them:
     /// one proxy's view takes no server out.
-    pub(crate) fn drain(&mut self, failing: &BTreeSet<&NodeId>) -> Vec<Seen> {
+    pub(crate) fn drain(&mut self, failing: &BTreeSet<&NodeId>) -> Vec<ServerStats> {
         let sums = std::mem::take(&mut self.sums).into_iter();
         let seen = sums.map(|(server, (served, failed))| {
             let errors = if failing.contains(&server) { failed } else { 0 };
-            Seen { server, served, errors, lost: 0, elapsed: None }
+            ServerStats { server, served, errors, lost: 0, mean_elapsed: None }
         });
         seen.filter(|s| s.served + s.errors > 0).collect()
     }
--- a/crates/director/tests/turns.rs
+++ b/crates/director/tests/turns.rs
@@ -67,7 +67,7 @@
 
 fn server(n: usize, state: NodeState, started: Option<i64>) -> (ServerInfo, Option<SocketAddr>) {
     let name = NodeId(format!("s{n}").into());
-    (ServerInfo { name, cell: n % 2, state, zone: Some(0), started }, Some(address(n)))
+    (ServerInfo { name, cell: n % 2, state, zone: Some(0), started_at: started }, Some(address(n)))
 }
 
 fn four() -> Vec<(ServerInfo, Option<SocketAddr>)> {
@@ -96,18 +96,18 @@
     assert!(director.turn(0).view(1, true).is_none());
     director.learn(1, ListScope::Changes, vec![server(0, NodeState::Serving, None)]);
     assert!(director.turn(1).view(1, true).is_none(), "changes of what is not known");
-    assert!(director.learn(2, ListScope::Whole, four()));
+    assert!(director.learn(2, ListScope::Complete, four()));
     let view = director.turn(2).view(1, true).unwrap();
     assert_eq!(health(&view, "cell-0"), [HealthStatus::Healthy; 2]);
-    assert!(!director.learn(3, ListScope::Whole, vec![]), "a list of none after one of four");
-    assert!(!director.learn(3, ListScope::Whole, vec![server(0, NodeState::Gone, None)]));
+    assert!(!director.learn(3, ListScope::Complete, vec![]), "a list of none after one of four");
+    assert!(!director.learn(3, ListScope::Complete, vec![server(0, NodeState::Gone, None)]));
     assert_eq!(health(&director.turn(3).view(1, true).unwrap(), "cell-0"), [HealthStatus::Healthy; 2]);
 }
 
 #[test]
 fn a_drain_is_in_the_next_turn_and_what_did_not_change_is_the_very_same() {
     let mut director = director();
-    director.learn(0, ListScope::Whole, four());
+    director.learn(0, ListScope::Complete, four());
     let before = director.turn(0);
     assert!(before.changed && !director.turn(1).changed);
     director.learn(2, ListScope::Changes, vec![server(0, NodeState::Draining, None)]);
@@ -134,7 +134,7 @@
 #[test]
 fn proxies_that_went_make_room_for_those_that_come() {
     let mut director = director();
-    director.learn(0, ListScope::Whole, four());
+    director.learn(0, ListScope::Complete, four());
     let report =
         |director: &mut Director, at, n: usize| director.report(at, &format!("p{n}"), &[load(0, 9, 0)]);
     (0..16_384).for_each(|n| report(&mut director, SECOND, n));
@@ -150,7 +150,7 @@
 #[test]
 fn failures_that_several_proxies_report_take_a_server_out() {
     let mut director = director();
-    director.learn(0, ListScope::Whole, four());
+    director.learn(0, ListScope::Complete, four());
     (1..4).for_each(|id| director.opened(0, id, node(&format!("p{id}"))));
     director.report(SECOND, "p1", &[load(0, 1, 500)]);
     director.report(SECOND, "p2", &[load(0, 50, 0)]);
@@ -294,7 +294,7 @@
     fn proxies_together_keep_to_what_a_cold_server_may_have_out(steps in prop::collection::vec(step(), 0..150)) {
         let mut director = director();
         let mut servers = four();
-        director.learn(0, ListScope::Whole, servers.clone());
+        director.learn(0, ListScope::Complete, servers.clone());
         let mut next_id = 0;
         let mut open = |director: &mut Director, now, before| {
             next_id += 1;
@@ -305,7 +305,7 @@
         let started = 20 * SECOND;
         let mut now = started;
         servers[0] = server(0, NodeState::Serving, Some(started as i64));
-        director.learn(now, ListScope::Whole, servers.clone());
+        director.learn(now, ListScope::Complete, servers.clone());
         for step in &steps {
             match *step {
                 Step::Wait(time) => now += time,
@@ -331,7 +331,7 @@
             }
             if matches!(step, Step::Restart) {
                 director = director_at(now);
-                director.learn(now, ListScope::Whole, servers.clone());
+                director.learn(now, ListScope::Complete, servers.clone());
                 let broken = std::mem::take(&mut proxies);
                 proxies = broken.into_iter().map(|p| open(&mut director, now, Some(p))).collect();
             }
@@ -358,11 +358,11 @@
 fn proxies_that_do_as_they_should_get_all_that_a_cold_server_may_have_out() {
     let mut director = director();
     let mut servers = four();
-    director.learn(0, ListScope::Whole, servers.clone());
+    director.learn(0, ListScope::Complete, servers.clone());
     let mut proxies: Vec<Proxy> = (1..=3).map(|id| Proxy::open(&mut director, 0, id, None)).collect();
     let started = 20 * SECOND;
     servers[0] = server(0, NodeState::Serving, Some(started as i64));
-    director.learn(started, ListScope::Whole, servers);
+    director.learn(started, ListScope::Complete, servers);
     let mut out = Vec::new();
     for tenth in 0..160 {
         let now = started + tenth * SECOND / 10;
@@ -386,11 +386,11 @@
 fn an_instance_borrows_what_the_other_does_not_need() {
     let mut both = [0, 1].map(|number| instance_at(0, Instance { number, of: 2 }));
     let mut servers = four();
-    both.iter_mut().for_each(|d| _ = d.learn(0, ListScope::Whole, servers.clone()));
+    both.iter_mut().for_each(|d| _ = d.learn(0, ListScope::Complete, servers.clone()));
     let mut proxies: Vec<Proxy> = (1..=3).map(|id| Proxy::open(&mut both[0], 0, id, None)).collect();
     let started = 20 * SECOND;
     servers[0] = server(0, NodeState::Serving, Some(started as i64));
-    both.iter_mut().for_each(|d| _ = d.learn(started, ListScope::Whole, servers.clone()));
+    both.iter_mut().for_each(|d| _ = d.learn(started, ListScope::Complete, servers.clone()));
     let mut out = Vec::new();
     for tenth in 0..120 {
         let now = started + tenth * SECOND / 10;
@@ -418,7 +418,7 @@
 
 /// Two proxies that have read all of what is told of four servers.
 fn two_that_read_all(director: &mut Director) -> Vec<Proxy> {
-    director.learn(0, ListScope::Whole, four());
+    director.learn(0, ListScope::Complete, four());
     let mut proxies: Vec<Proxy> = (1..=2).map(|id| Proxy::open(director, 0, id, None)).collect();
     turn(director, &mut proxies, 0);
     proxies.iter_mut().for_each(|p| p.read_all(director, 0));
@@ -432,7 +432,7 @@
     let mut proxies = two_that_read_all(&mut director);
     let now = 20 * SECOND;
     servers[0] = server(0, NodeState::Serving, Some(now as i64));
-    director.learn(now, ListScope::Whole, servers);
+    director.learn(now, ListScope::Complete, servers);
     turn(&mut director, &mut proxies, now);
     (director, proxies, now)
 }
@@ -519,7 +519,7 @@
 #[test]
 fn what_a_cut_off_proxy_forgets_is_prolonged_in_time() {
     let mut director = made(0, Instance { number: 0, of: 1 }, Some(CUT_OFF));
-    director.learn(0, ListScope::Whole, four());
+    director.learn(0, ListScope::Complete, four());
     director.opened(0, 1, node("p"));
     let (mut now, mut prolonged, mut last) = (0, 0, None);
     while now < 10 * CUT_OFF {
@@ -547,7 +547,7 @@
     let now = 20 * SECOND;
     director.ended(now, proxies.remove(0).id);
     servers[0] = server(0, NodeState::Serving, Some(now as i64));
-    director.learn(now, ListScope::Whole, servers);
+    director.learn(now, ListScope::Complete, servers);
     let until = now + TIMES.longest_pause + CUT_OFF + TIMES.longest_request;
     let mut at = now;
     while at < until + 3 * SECOND {
@@ -563,7 +563,7 @@
     let again = until + 3 * SECOND;
     let mut servers = four();
     servers[0] = server(0, NodeState::Serving, Some(again as i64));
-    director.learn(again, ListScope::Whole, servers);
+    director.learn(again, ListScope::Complete, servers);
     for step in 0..6 {
         turn(&mut director, &mut proxies, again + step * SECOND);
         proxies[0].read_all(&mut director, again + step * SECOND);
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -8,7 +8,7 @@
 
 pub use bucket::Bucket;
 
-use plover_model::query::{Owner, QueryLimits, Rate};
+use plover_model::query::{LimitScope, QueryLimits, Rate};
 use plover_model::time::{Micros, SECOND};
 use std::collections::BTreeMap;
 
@@ -22,11 +22,11 @@
 /// What a query that was let in holds. It has to be given back.
 #[derive(Debug, Default, PartialEq, Eq)]
 #[must_use = "it has to be given back"]
-pub struct Permit(Option<Owner>);
+pub struct Permit(Option<LimitScope>);
 
 impl Permit {
     /// The section that counts it, if one does.
-    pub fn owner(&self) -> Option<&Owner> {
+    pub fn owner(&self) -> Option<&LimitScope> {
         self.0.as_ref()
     }
 }
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refused {
     /// The section whose limit it would pass.
-    pub owner: Owner,
+    pub owner: LimitScope,
     /// The limit's keyword.
     pub limit: &'static str,
     /// When to come back.
@@ -47,8 +47,8 @@
 /// All counts of rates and of queries in hand.
 #[derive(Debug)]
 pub struct Gate {
-    in_hand: BTreeMap<Owner, u32>,
-    buckets: BTreeMap<(Owner, usize), (Rate, Bucket)>,
+    in_hand: BTreeMap<LimitScope, u32>,
+    buckets: BTreeMap<(LimitScope, usize), (Rate, Bucket)>,
     /// The bucket that all tenants share, of whatever section, who find no room for one of their own.
     others: Option<(Rate, Bucket)>,
     /// Before this, full buckets are not looked for again.
@@ -99,9 +99,9 @@
         now: Micros,
         limits: &QueryLimits,
         tenant: usize,
-        elsewhere: impl Fn(&Owner) -> u32,
+        elsewhere: impl Fn(&LimitScope) -> u32,
     ) -> Result<Permit, Refused> {
-        if let Some((owner, most)) = &limits.most_in_hand
+        if let Some((owner, most)) = &limits.max_open
             && self.in_hand(owner).saturating_add(elsewhere(owner)) >= *most
         {
             return Err(self.refuse(owner, "most-in-hand", IN_HAND_WAIT, false));
@@ -116,7 +116,7 @@
                 return Err(self.refuse(owner, "rate", wait, shared));
             }
         }
-        let owner = limits.most_in_hand.as_ref().map(|(owner, _)| owner.clone());
+        let owner = limits.max_open.as_ref().map(|(owner, _)| owner.clone());
         if let Some(owner) = &owner {
             *self.in_hand.entry(owner.clone()).or_default() += 1;
         }
@@ -139,7 +139,7 @@
     }
 
     /// Queries in hand that count for a section.
-    pub fn in_hand(&self, owner: &Owner) -> u32 {
+    pub fn in_hand(&self, owner: &LimitScope) -> u32 {
         self.in_hand.get(owner).copied().unwrap_or(0)
     }
 
@@ -149,13 +149,13 @@
     }
 
     /// Those who are turned away together must not all come back together: up to half as long again.
-    fn refuse(&mut self, owner: &Owner, limit: &'static str, wait: Micros, shared: bool) -> Refused {
+    fn refuse(&mut self, owner: &LimitScope, limit: &'static str, wait: Micros, shared: bool) -> Refused {
         self.refused = self.refused.wrapping_add(1);
         let spread = mix(self.seed ^ self.refused) % (wait / 2 + 1);
         Refused { owner: owner.clone(), limit, wait: wait + spread, shared }
     }
 
-    fn bucket(&mut self, now: Micros, owner: &Owner, rate: Rate, tenant: usize) -> &mut Bucket {
+    fn bucket(&mut self, now: Micros, owner: &LimitScope, rate: Rate, tenant: usize) -> &mut Bucket {
         let key = (owner.clone(), tenant);
         let made = || (rate, Bucket::new(now, rate.burst, rate.per_second));
         if !self.buckets.contains_key(&key) && self.buckets.len() >= MOST_BUCKETS && now >= self.next_sweep {
--- a/crates/limits/src/tests.rs
+++ b/crates/limits/src/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use proptest::prelude::*;
 
-fn owner() -> Owner {
+fn owner() -> LimitScope {
     "class lookup".into()
 }
 
 fn in_hand(most: u32) -> QueryLimits {
-    QueryLimits { most_in_hand: Some((owner(), most)), ..QueryLimits::default() }
+    QueryLimits { max_open: Some((owner(), most)), ..QueryLimits::default() }
 }
 
 fn rate(per_second: u32, burst: u32) -> QueryLimits {
@@ -93,12 +93,12 @@
     #[test]
     fn every_permit_comes_back_once(steps in prop::collection::vec((0u8..3, 0u32..4, 0usize..3), 0..200)) {
         let mut gate = Gate::new(3);
-        let owners: [Owner; 2] = ["a".into(), "b".into()];
+        let owners: [LimitScope; 2] = ["a".into(), "b".into()];
         let mut held: Vec<(Option<usize>, Permit)> = Vec::new();
         for (kind, most, n) in steps {
             let limits = match n {
                 2 => QueryLimits::default(),
-                n => QueryLimits { most_in_hand: Some((owners[n].clone(), most)), ..QueryLimits::default() },
+                n => QueryLimits { max_open: Some((owners[n].clone(), most)), ..QueryLimits::default() },
             };
             if kind > 0 {
                 let before = owners.get(n).map_or(0, |o| gate.in_hand(o));
--- a/crates/model/src/limits.rs
+++ b/crates/model/src/limits.rs
@@ -6,13 +6,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
     /// Most connections.
-    pub sockets: usize,
+    pub max_connections: usize,
     /// Most parts in a call.
-    pub batch: usize,
+    pub max_parts_per_call: usize,
     /// Most parts on a connection.
-    pub multiplex: usize,
+    pub max_parts_per_connection: usize,
     /// A connection must be up within this time.
     pub dial_timeout: Micros,
     /// Servers close connections that are idle for this long.
-    pub keepalive: Micros,
+    pub idle_timeout: Micros,
 }
--- a/crates/model/src/query.rs
+++ b/crates/model/src/query.rs
@@ -39,12 +39,12 @@
     /// Its share of the whole answer.
     pub weight: f64,
     /// A guess at the work in it.
-    pub hint: Option<Micros>,
+    pub work_hint: Option<Micros>,
 }
 
 /// What a client asks.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct QueryRequest {
     /// The request's id, on the wire to data servers too.
     pub id: Rc<str>,
     /// Index of the class.
@@ -52,15 +52,15 @@
     /// Index of the tenant.
     pub tenant: usize,
     /// How long the client will wait.
-    pub patience: Micros,
+    pub client_timeout: Micros,
     /// Whether the client marked it as a repeat.
-    pub again: bool,
+    pub is_retry: bool,
     /// The idempotency key, in a keyed class.
-    pub key: Option<Rc<str>>,
+    pub idempotency_key: Option<Rc<str>>,
     /// The parts.
     pub parts: Vec<PartSpec>,
     /// What each part has to carry.
-    pub text: Rc<str>,
+    pub predicate: Rc<str>,
     /// What the operator sets for it.
     pub limits: Arc<QueryLimits>,
 }
@@ -101,25 +101,25 @@
     /// The zones.
     pub zones: Vec<String>,
     /// Classes that no request may name any more: queries that began under them may be in hand still.
-    pub classes_left: BTreeSet<usize>,
+    pub removed_classes: BTreeSet<usize>,
     /// Tenants, likewise.
-    pub tenants_left: BTreeSet<usize>,
+    pub removed_tenants: BTreeSet<usize>,
 }
 
 impl Names {
     /// The index of the class that has this name now.
     pub fn class(&self, name: &str) -> Option<usize> {
-        find(&self.classes, &self.classes_left, name.as_bytes())
+        find(&self.classes, &self.removed_classes, name.as_bytes())
     }
 
     /// The index of all requests' tenant, where the settings name none.
-    pub fn only_tenant(&self) -> Option<usize> {
+    pub fn implicit_tenant(&self) -> Option<usize> {
         if self.tenants.is_empty() { Some(0) } else { self.tenant(b"") }
     }
 
     /// The index of the tenant that has this name now.
     pub fn tenant(&self, name: &[u8]) -> Option<usize> {
-        find(&self.tenants, &self.tenants_left, name)
+        find(&self.tenants, &self.removed_tenants, name)
     }
 }
 
@@ -129,7 +129,7 @@
 }
 
 /// The section of the operator's file that a limit was set in: queries count together that have it from there.
-pub type Owner = Arc<str>;
+pub type LimitScope = Arc<str>;
 
 /// So many queries a second of each tenant, evenly, and so many at once after a silence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -144,13 +144,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QueryLimits {
     /// It is answered within this time.
-    pub time_out: Option<Micros>,
+    pub timeout: Option<Micros>,
     /// An attempt at a part is given up after this time.
-    pub attempt_time_out: Option<Micros>,
+    pub attempt_timeout: Option<Micros>,
     /// Most attempts at a part.
-    pub attempts: Option<u32>,
+    pub max_attempts: Option<u32>,
     /// Most queries in hand, of all that share the limit.
-    pub most_in_hand: Option<(Owner, u32)>,
+    pub max_open: Option<(LimitScope, u32)>,
     /// Most queries a second, by tenant.
-    pub rate: Option<(Owner, Rate)>,
+    pub rate: Option<(LimitScope, Rate)>,
 }
--- a/crates/model/src/server.rs
+++ b/crates/model/src/server.rs
@@ -18,12 +18,12 @@
     /// Index of its zone.
     pub zone: Option<usize>,
     /// When its process last started on the program's clock, perhaps before its origin; `None`: long ago.
-    pub started: Option<i64>,
+    pub started_at: Option<i64>,
 }
 
 /// A server as the module sees it, and where it listens.
 #[derive(Clone, Debug, PartialEq)]
-pub struct View {
+pub struct ServerStatus {
     /// Its name.
     pub name: NodeId,
     /// Where it listens.
@@ -46,9 +46,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     /// The whole list as last known, perhaps old.
-    Known,
+    Cached,
     /// The whole list.
-    Whole,
+    Complete,
     /// Changed entries.
     Changes,
 }
@@ -99,7 +99,7 @@
 impl Targets {
     /// What the list is to the decisions.
     pub fn scope(&self) -> ListScope {
-        if self.all { ListScope::Whole } else { ListScope::Changes }
+        if self.all { ListScope::Complete } else { ListScope::Changes }
     }
 
     /// The entries as the decisions see them; `of_unix_ms` puts a Unix time in milliseconds on the program's clock.
@@ -113,7 +113,7 @@
                 TargetState::Left => NodeState::Gone,
             },
             zone: zones.iter().position(|z| *z == t.az),
-            started: (t.boot_ms > 0.0).then(|| of_unix_ms(t.boot_ms as i64)),
+            started_at: (t.boot_ms > 0.0).then(|| of_unix_ms(t.boot_ms as i64)),
         };
         self.targets.iter().map(server).collect()
     }
@@ -131,7 +131,7 @@
             {"uid":"c","state":"left"}]}"#;
         let targets: Targets = serde_json::from_str(text).unwrap();
         let servers = targets.servers(&["x".to_owned(), "y".to_owned()], |unix_ms| unix_ms - 1);
-        let seen: Vec<_> = servers.iter().map(|s| (s.cell, s.state, s.zone, s.started)).collect();
+        let seen: Vec<_> = servers.iter().map(|s| (s.cell, s.state, s.zone, s.started_at)).collect();
         let leaving = (3, NodeState::Draining, Some(1), None);
         let active = (1, NodeState::Serving, None, Some(1_796_125_499_999));
         assert_eq!(seen, [leaving, active, (0, NodeState::Gone, None, None)]);
--- a/crates/pacing/src/lib.rs
+++ b/crates/pacing/src/lib.rs
@@ -29,7 +29,7 @@
 impl Pacing {
     /// The least time between the beginnings of two turns, with so many queries in hand (those that wait to be taken
     /// up included).
-    pub fn gap(self, in_hand: usize) -> Micros {
+    pub fn interval(self, in_hand: usize) -> Micros {
         match self {
             Pacing::Fixed(gap) => gap,
             Pacing::Gather(most) => {
@@ -40,17 +40,17 @@
     }
 
     /// Whether news may bring the next turn forward.
-    pub fn heeds_news(self) -> bool {
+    pub fn is_adaptive(self) -> bool {
         matches!(self, Pacing::Gather(_))
     }
 
     /// When the next turn begins at the earliest, after one that began at `last`: with so many queries in hand, and so
     /// many attempts out whose end is not known yet.
-    pub fn earliest(self, last: Micros, in_hand: usize, awaited: usize) -> Micros {
-        if self.heeds_news() && awaited == 0 {
+    pub fn next_turn_at(self, last: Micros, in_hand: usize, awaited: usize) -> Micros {
+        if self.is_adaptive() && awaited == 0 {
             return last;
         }
-        last.saturating_add(self.gap(in_hand))
+        last.saturating_add(self.interval(in_hand))
     }
 }
 
@@ -61,9 +61,9 @@
 
     #[test]
     fn one_query_alone_is_served_at_once_and_a_crowd_gathers() {
-        let gaps = [0, 1, 2, 5, 9, 10_000].map(|n| Pacing::Gather(4000).gap(n));
+        let gaps = [0, 1, 2, 5, 9, 10_000].map(|n| Pacing::Gather(4000).interval(n));
         assert_eq!(gaps, [0, 0, 500, 2000, 4000, 4000]);
-        assert_eq!([0, 1, 100].map(|n| Pacing::Fixed(5000).gap(n)), [5000; 3]);
+        assert_eq!([0, 1, 100].map(|n| Pacing::Fixed(5000).interval(n)), [5000; 3]);
     }
 
     /// A client that asks one query after another never has more than one in hand, however fast it is served: with
@@ -73,7 +73,7 @@
         let pacing = Pacing::Gather(5000);
         let (mut now, mut waited) = (0, 0);
         for _ in 0..1000 {
-            let start = pacing.earliest(now, 1, 1).max(now);
+            let start = pacing.next_turn_at(now, 1, 1).max(now);
             waited += start - now;
             now = start + 50;
         }
@@ -82,16 +82,16 @@
 
     #[test]
     fn once_all_that_is_out_has_ended_nobody_waits() {
-        assert_eq!([0, 1, 2].map(|n| Pacing::Gather(4000).earliest(100, 9, n)), [100, 4100, 4100]);
-        assert_eq!([0, 1].map(|n| Pacing::Fixed(5000).earliest(100, 9, n)), [5100; 2]);
+        assert_eq!([0, 1, 2].map(|n| Pacing::Gather(4000).next_turn_at(100, 9, n)), [100, 4100, 4100]);
+        assert_eq!([0, 1].map(|n| Pacing::Fixed(5000).next_turn_at(100, 9, n)), [5100; 2]);
     }
 
     proptest! {
         #[test]
         fn the_wait_never_shrinks_with_more_in_hand_nor_passes_the_most(most in 0u64..50_000, a in 0usize..5000, b in 0usize..5000) {
             let pacing = Pacing::Gather(most);
-            prop_assert!(pacing.gap(a.min(b)) <= pacing.gap(a.max(b)));
-            prop_assert!(pacing.gap(a) <= most);
+            prop_assert!(pacing.interval(a.min(b)) <= pacing.interval(a.max(b)));
+            prop_assert!(pacing.interval(a) <= most);
         }
     }
 }
--- a/crates/query/src/ask.rs
+++ b/crates/query/src/decode.rs
@@ -2,7 +2,7 @@
 
 use brookbend::api::{Semantics, Settings};
 use http::{HeaderMap, Method, Request};
-use plover_model::query::{Ask, Names, PartSpec, Reply};
+use plover_model::query::{Names, PartSpec, QueryRequest, Reply};
 use plover_model::time::{MILLI, Micros, millis};
 use plover_routes::{Facts, Routes};
 use serde::Deserialize;
@@ -39,7 +39,7 @@
     names: &Names,
     settings: &Settings,
     routes: &Routes,
-) -> Result<Ask, Reply> {
+) -> Result<QueryRequest, Reply> {
     let m = request.headers();
     let first = request.uri().path().trim_start_matches('/').split('/').next().unwrap_or_default();
     let Some(class) = names.class(first) else {
@@ -53,7 +53,7 @@
     }
     let id = token(m, "x-request-id")?;
     let Some(id) = id else { return bad(400, "X-Request-Id is missing") };
-    let tenant = match (names.only_tenant(), m.get("x-tenant")) {
+    let tenant = match (names.implicit_tenant(), m.get("x-tenant")) {
         (Some(only), _) => only,
         (None, Some(name)) => match names.tenant(name.as_bytes()) {
             Some(tenant) => tenant,
@@ -84,16 +84,16 @@
         tenant: names.tenants.get(tenant).map_or("", String::as_str),
         headers: m,
     };
-    Ok(Ask {
+    Ok(QueryRequest {
         limits: routes.of(class, &facts).clone(),
         id,
         class,
         tenant,
-        patience,
-        again: m.get("x-retry").is_some_and(|v| v == "1"),
-        key,
+        client_timeout: patience,
+        is_retry: m.get("x-retry").is_some_and(|v| v == "1"),
+        idempotency_key: key,
         parts: parts(body.ranges, settings.shards)?,
-        text: body.predicate.into(),
+        predicate: body.predicate.into(),
     })
 }
 
@@ -117,7 +117,7 @@
             return bad(400, "a price is out of bounds");
         }
         let hint = r.price.map(|p| p as Micros).filter(|p| *p > 0);
-        parts.push(PartSpec { shard: r.range, weight: r.portion, hint });
+        parts.push(PartSpec { shard: r.range, weight: r.portion, work_hint: hint });
     }
     // What is whole, and what may be answered in part, is judged by these: a query that asks for more or less
     // than itself has no right answer.
--- a/crates/query/src/terms.rs
+++ b/crates/query/src/request_config.rs
@@ -8,7 +8,7 @@
 use crate::decode;
 use brookbend::api::{Semantics, Settings};
 use http::Request;
-use plover_model::query::{Ask, Names, Reply};
+use plover_model::query::{Names, QueryRequest, Reply};
 use plover_model::time::{MILLI, Micros};
 use plover_routes::Routes;
 use std::cmp::Reverse;
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 
 /// New settings bind this long after the word, as the platform says.
-pub const BINDS: Micros = 1_200 * MILLI;
+pub const SETTINGS_EFFECTIVE_AFTER: Micros = 1_200 * MILLI;
 /// About that moment a request may be of either terms: our word came later than the clients', and requests travel.
 const UNSURE: Micros = 300 * MILLI;
 /// After this nobody goes by the terms before.
@@ -27,7 +27,7 @@
 
 /// What a request is read by. Classes and tenants have the same index in all terms of one program.
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
+pub struct RequestConfig {
     /// What requests may name.
     pub names: Names,
     /// What holds for it; `None`: nothing can be asked yet.
@@ -36,8 +36,8 @@
     pub routes: Arc<Routes>,
 }
 
-impl Terms {
-    fn read(&self, request: &Request<Vec<u8>>) -> Result<Ask, Reply> {
+impl RequestConfig {
+    fn read(&self, request: &Request<Vec<u8>>) -> Result<QueryRequest, Reply> {
         match &self.settings {
             Some(settings) => decode(request, &self.names, settings, &self.routes),
             None => Err(Reply::Refused { retry_after: None }),
@@ -45,7 +45,7 @@
     }
 
     /// How little of a query may be repeated, and how often its attempts.
-    fn strictness(&self, ask: &Ask) -> Strictness {
+    fn strictness(&self, ask: &QueryRequest) -> Strictness {
         let class = self.settings.as_ref().and_then(|s| s.classes.get(ask.class));
         match class.map(|c| c.semantics) {
             None | Some(Semantics::Safe) => (0, Reverse(u64::MAX)),
@@ -60,21 +60,21 @@
 
 /// The terms now, and those before while they still count.
 #[derive(Clone, Debug, Default)]
-pub struct Changing {
-    now: Terms,
+pub struct RequestConfigHistory {
+    now: RequestConfig,
     /// Those before, the oldest first, each with the moment at which other terms were told. A second change within the
     /// time of the first must not end that: clients have yet to hear of either.
-    before: VecDeque<(Micros, Terms)>,
+    before: VecDeque<(Micros, RequestConfig)>,
 }
 
-impl Changing {
+impl RequestConfigHistory {
     /// With these terms from the start.
-    pub fn new(terms: Terms) -> Self {
-        Changing { now: terms, before: VecDeque::new() }
+    pub fn new(terms: RequestConfig) -> Self {
+        RequestConfigHistory { now: terms, before: VecDeque::new() }
     }
 
     /// Other terms, told at this moment.
-    pub fn change(&mut self, at: Micros, terms: Terms) {
+    pub fn change(&mut self, at: Micros, terms: RequestConfig) {
         let before = std::mem::replace(&mut self.now, terms);
         while self.before.front().is_some_and(|(told, _)| at.saturating_sub(*told) >= OVER) {
             self.before.pop_front();
@@ -88,29 +88,30 @@
     }
 
     /// The terms that were told last.
-    pub fn latest(&self) -> &Terms {
+    pub fn latest(&self) -> &RequestConfig {
         &self.now
     }
 
     /// Reads a request that came at this moment: by the terms that hold then, about the moment of a change by the
     /// strictest of those that may, and where these cannot use it by those that hold soonest before or after.
-    pub fn read(&self, at: Micros, request: &Request<Vec<u8>>) -> Result<Ask, Reply> {
+    pub fn read(&self, at: Micros, request: &Request<Vec<u8>>) -> Result<QueryRequest, Reply> {
         let new = self.now.read(request);
         let recent = self.before.iter().filter(|(told, _)| at.saturating_sub(*told) < OVER);
         let mut from = 0;
-        let mut found: Option<(Ask, (Micros, Reverse<Strictness>))> = None;
-        let mut consider = |terms: &Terms, read: Result<Ask, Reply>, from: Micros, until: Micros| {
-            let Ok(ask) = read else { return };
-            let early = (from + 1).saturating_sub(UNSURE).saturating_sub(at);
-            let late = (at + 1).saturating_sub(until.saturating_add(UNSURE));
-            let rank = (early.max(late), Reverse(terms.strictness(&ask)));
-            // Of two that are alike the older one counts: its place is the one that clients asked by.
-            if found.as_ref().is_none_or(|(_, best)| rank < *best) {
-                found = Some((ask, rank));
-            }
-        };
+        let mut found: Option<(QueryRequest, (Micros, Reverse<Strictness>))> = None;
+        let mut consider =
+            |terms: &RequestConfig, read: Result<QueryRequest, Reply>, from: Micros, until: Micros| {
+                let Ok(ask) = read else { return };
+                let early = (from + 1).saturating_sub(UNSURE).saturating_sub(at);
+                let late = (at + 1).saturating_sub(until.saturating_add(UNSURE));
+                let rank = (early.max(late), Reverse(terms.strictness(&ask)));
+                // Of two that are alike the older one counts: its place is the one that clients asked by.
+                if found.as_ref().is_none_or(|(_, best)| rank < *best) {
+                    found = Some((ask, rank));
+                }
+            };
         for (told, before) in recent {
-            let until = told + BINDS;
+            let until = told + SETTINGS_EFFECTIVE_AFTER;
             consider(before, before.read(request), from, until);
             from = until;
         }
--- a/crates/query/src/answer.rs
+++ b/crates/query/src/response.rs
@@ -1,6 +1,6 @@
 //! From the end of a query to an HTTP response.
 
-use crate::Changing;
+use crate::RequestConfigHistory;
 use http::header::{ALLOW, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use http::{HeaderMap, StatusCode};
 use plover_model::query::Reply;
@@ -27,7 +27,7 @@
 }
 
 /// The value of a `Date` field for this time (RFC 9110, section 5.6.7).
-pub fn date(now: SystemTime) -> HeaderValue {
+pub fn date_header(now: SystemTime) -> HeaderValue {
     HeaderValue::try_from(httpdate::fmt_http_date(now)).unwrap_or(HeaderValue::from_static(""))
 }
 
@@ -48,7 +48,7 @@
 }
 
 /// A text for a person or a script, with the methods that are allowed instead, if any.
-pub fn plain(status: u16, allow: &'static str, text: &str) -> Response {
+pub fn plain_text(status: u16, allow: &'static str, text: &str) -> Response {
     let mut response = error(status, allow, text.trim_end());
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
     response
@@ -72,7 +72,7 @@
 }
 
 /// Encodes the final answer of a query.
-pub fn final_answer(reply: &Reply) -> Response {
+pub fn encode_reply(reply: &Reply) -> Response {
     match reply {
         Reply::Answer { whole, values } => {
             let answers = values.iter().map(|(range, blob)| ValueBody { range: *range, blob }).collect();
@@ -92,10 +92,10 @@
 }
 
 /// What a client is told whose connection finds no seat.
-pub fn refuse_connection(terms: &Changing) -> Response {
+pub fn connection_refusal(terms: &RequestConfigHistory) -> Response {
     let most = terms.latest().settings.as_ref().and_then(|s| s.max_retry_after);
     let retry_after = most.map(|most| millis(most).min(RETURN));
-    final_answer(&Reply::Refused { retry_after })
+    encode_reply(&Reply::Refused { retry_after })
 }
 
 #[cfg(test)]
@@ -104,7 +104,7 @@
 
     #[test]
     fn refusals_tell_when_to_come_back() {
-        let response = final_answer(&Reply::Refused { retry_after: Some(1_250_400) });
+        let response = encode_reply(&Reply::Refused { retry_after: Some(1_250_400) });
         assert_eq!(
             (response.status().as_u16(), &response.headers()["retry-after"]),
             (503, &"1.250".parse().unwrap())
@@ -113,13 +113,13 @@
 
     #[test]
     fn a_method_that_is_not_allowed_is_told_which_is() {
-        let response = final_answer(&Reply::Bad { status: 405, why: "a query is a POST".into() });
+        let response = encode_reply(&Reply::Bad { status: 405, why: "a query is a POST".into() });
         assert_eq!(response.headers()["allow"], "POST");
     }
 
     #[test]
     fn dates_have_the_form_of_the_field() {
         let at = SystemTime::UNIX_EPOCH + std::time::Duration::from_secs(784_111_777);
-        assert_eq!(date(at), "Sun, 06 Nov 1994 08:49:37 GMT");
+        assert_eq!(date_header(at), "Sun, 06 Nov 1994 08:49:37 GMT");
     }
 }
--- a/crates/routes/src/explain.rs
+++ b/crates/routes/src/explain.rs
@@ -1,7 +1,7 @@
 //! Which line decided which value.
 
 use crate::{Facts, Set, Table};
-use plover_model::query::{Owner, Rate};
+use plover_model::query::{LimitScope, Rate};
 use plover_model::time::{MILLI, Micros, SECOND};
 
 /// One value that holds for a query.
@@ -12,7 +12,7 @@
     /// The value as it would be written; `None`: as the platform has it.
     pub value: Option<String>,
     /// The section and line that set it.
-    pub from: Option<(Owner, usize)>,
+    pub from: Option<(LimitScope, usize)>,
 }
 
 /// A time as it would be written in the file.
@@ -33,7 +33,7 @@
         let chain = self.chain(facts.class, route);
         fn line<T: Clone>(
             keyword: &'static str,
-            found: Option<(&Set<T>, Owner)>,
+            found: Option<(&Set<T>, LimitScope)>,
             show: impl Fn(T) -> String,
         ) -> Explained {
             let value = found.as_ref().map(|(set, _)| show(set.value.clone()));
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -12,7 +12,7 @@
 pub use explain::{Explained, show_time};
 pub use matching::{Facts, Matcher};
 
-use plover_model::query::{Owner, QueryLimits, Rate};
+use plover_model::query::{LimitScope, QueryLimits, Rate};
 use plover_model::time::Micros;
 use std::ops::Range;
 use std::sync::Arc;
@@ -101,7 +101,10 @@
 
 impl<'a> Chain<'a> {
     /// The value that holds, and the section that set it.
-    pub fn find<T>(self, of: impl Fn(&'a Overrides) -> &'a Option<Set<T>>) -> Option<(&'a Set<T>, Owner)> {
+    pub fn find<T>(
+        self,
+        of: impl Fn(&'a Overrides) -> &'a Option<Set<T>>,
+    ) -> Option<(&'a Set<T>, LimitScope)> {
         let route = self.route.and_then(|r| Some((of(&r.sets).as_ref()?, format!("route {}", r.name))));
         let class = || self.class.and_then(|c| Some((of(&c.sets).as_ref()?, format!("class {}", c.name))));
         let defaults = || Some((of(self.defaults).as_ref()?, "defaults".to_owned()));
@@ -111,10 +114,10 @@
     /// All that holds.
     pub fn limits(self) -> QueryLimits {
         QueryLimits {
-            time_out: self.find(|o| &o.time_out).map(|(set, _)| set.value),
-            attempt_time_out: self.find(|o| &o.attempt_time_out).map(|(set, _)| set.value),
-            attempts: self.find(|o| &o.attempts).map(|(set, _)| set.value),
-            most_in_hand: self.find(|o| &o.most_in_hand).map(|(set, owner)| (owner, set.value)),
+            timeout: self.find(|o| &o.time_out).map(|(set, _)| set.value),
+            attempt_timeout: self.find(|o| &o.attempt_time_out).map(|(set, _)| set.value),
+            max_attempts: self.find(|o| &o.attempts).map(|(set, _)| set.value),
+            max_open: self.find(|o| &o.most_in_hand).map(|(set, owner)| (owner, set.value)),
             rate: self.find(|o| &o.rate).map(|(set, owner)| (owner, set.value)),
         }
     }
@@ -186,8 +189,8 @@
         let of = |class: usize, tenant: &str| {
             let facts = Facts { path: "/x", class: ["lookup", "ranking"][class], tenant, headers: &headers };
             let limits = routes.of(class, &facts);
-            let owner = limits.most_in_hand.clone().unwrap().0;
-            (limits.time_out, limits.attempts, owner.to_string())
+            let owner = limits.max_open.clone().unwrap().0;
+            (limits.timeout, limits.max_attempts, owner.to_string())
         };
         let shared = "defaults".to_owned();
         assert_eq!(of(0, "t"), (Some(3), Some(3), shared.clone()));
--- a/crates/scale/tests/control.rs
+++ b/crates/scale/tests/control.rs
@@ -142,7 +142,7 @@
     let (whole, mut one) = (read(&entries), read(&entries[..1]));
     let mut core = Core::new(config.settings, 1000, 1);
     let learned = measure(|| {
-        core.learn(ListScope::Whole, whole.servers(&zones, |ms| ms));
+        core.update_servers(ListScope::Complete, whole.servers(&zones, |ms| ms));
         core.tick(SECOND);
     });
     let mut ledger = Ledger::default();
@@ -151,7 +151,7 @@
     (one.all, one.rev) = (false, 2);
     let changed = measure(|| {
         ledger.take(2 * SECOND, &mut one);
-        core.learn(ListScope::Changes, one.servers(&zones, |ms| ms));
+        core.update_servers(ListScope::Changes, one.servers(&zones, |ms| ms));
         core.tick(2 * SECOND);
     });
     [learned, kept, changed].map(|info| (info.count_total, info.bytes_total, info.bytes_max))
--- a/crates/steering/src/assign.rs
+++ b/crates/steering/src/assign.rs
@@ -8,7 +8,7 @@
 
 use crate::cold::{Rule, part_of};
 use crate::leases::{Leases, fair_units};
-use crate::{Proxy, View};
+use crate::{Proxy, ServerStatus};
 use plover_model::server::{NodeId, NodeState};
 use plover_model::time::Micros;
 use std::collections::BTreeMap;
@@ -100,7 +100,7 @@
 }
 
 /// Whether a server of this view is cold at this moment.
-pub fn is_cold(view: &View, now: Micros, rule: &Rule) -> bool {
+pub fn is_cold(view: &ServerStatus, now: Micros, rule: &Rule) -> bool {
     view.cold_since.is_some_and(|since| !rule.is_warm(now.saturating_sub(since)))
 }
 
@@ -113,19 +113,19 @@
 /// The cells as all proxies are told of them, at this moment; `out`: servers that a quorum of proxies took out, and until
 /// when. A cell of which every server that serves is passed over is told as if none were: some of them may be up, and a
 /// proxy that is told of no healthy endpoint at all sends nowhere.
-pub fn cells(now: Micros, views: &[View], out: &BTreeMap<NodeId, Micros>, rule: &Rule) -> Vec<Cell> {
-    let mut by_cell: BTreeMap<usize, Vec<&View>> = BTreeMap::new();
+pub fn cells(now: Micros, views: &[ServerStatus], out: &BTreeMap<NodeId, Micros>, rule: &Rule) -> Vec<Cell> {
+    let mut by_cell: BTreeMap<usize, Vec<&ServerStatus>> = BTreeMap::new();
     for view in views.iter().filter(|v| v.state != NodeState::Gone) {
         by_cell.entry(view.cell).or_default().push(view);
     }
-    let passed_over = |v: &View| {
+    let passed_over = |v: &ServerStatus| {
         v.ejected_until.is_some_and(|until| until > now) || out.get(&v.name).is_some_and(|until| *until > now)
     };
-    let cell = |(cell, mut views): (usize, Vec<&View>)| {
+    let cell = |(cell, mut views): (usize, Vec<&ServerStatus>)| {
         views.sort_by(|a, b| a.name.cmp(&b.name));
-        let warm = |v: &&View| v.state == NodeState::Serving && !is_cold(v, now, rule);
+        let warm = |v: &&ServerStatus| v.state == NodeState::Serving && !is_cold(v, now, rule);
         let spared = views.iter().filter(|v| warm(v)).all(|v| passed_over(v));
-        let endpoint = |(row, v): (usize, &View)| Endpoint {
+        let endpoint = |(row, v): (usize, &ServerStatus)| Endpoint {
             name: v.name.clone(),
             address: v.endpoint,
             zone: v.zone,
@@ -167,7 +167,7 @@
 /// proxy for each server.
 pub fn deal(
     now: Micros,
-    views: &[View],
+    views: &[ServerStatus],
     proxies: &[Proxy],
     traffic: impl Fn(&Proxy, usize) -> Option<Traffic>,
     rule: &Rule,
@@ -215,8 +215,8 @@
     const TIMES: Times =
         Times { time_to_live: 2 * SECOND, longest_request: 4 * SECOND, longest_pause: 10 * SECOND };
 
-    fn view(n: usize) -> View {
-        View {
+    fn view(n: usize) -> ServerStatus {
+        ServerStatus {
             name: NodeId(format!("s{n:02}").into()),
             endpoint: SocketAddr::from(([127, 0, 0, 1], 9000 + n as u16)),
             cell: n % 2,
@@ -234,7 +234,7 @@
 
     #[test]
     fn cells_become_clusters_and_rows_stay_where_they_are() {
-        let mut views: Vec<View> = (0..6).map(view).collect();
+        let mut views: Vec<ServerStatus> = (0..6).map(view).collect();
         views[2].state = NodeState::Draining;
         views[4].ejected_until = Some(10);
         let told = cells(5, &views, &BTreeMap::new(), &RULE);
@@ -246,7 +246,7 @@
 
     #[test]
     fn a_cell_of_which_all_are_passed_over_is_told_as_if_none_were() {
-        let mut views: Vec<View> = (0..4).map(view).collect();
+        let mut views: Vec<ServerStatus> = (0..4).map(view).collect();
         (0..4).for_each(|n| views[n].ejected_until = Some(10));
         views[3].ejected_until = None;
         let told = cells(5, &views, &BTreeMap::new(), &RULE);
@@ -264,7 +264,7 @@
 
     #[test]
     fn a_cold_server_is_told_to_holders_of_a_lease_alone_until_it_is_warm() {
-        let mut views: Vec<View> = (0..4).map(view).collect();
+        let mut views: Vec<ServerStatus> = (0..4).map(view).collect();
         views[0].cold_since = Some(0);
         let proxies: Vec<Proxy> = (0..10).map(|n| format!("p{n}").into()).collect();
         let mut leases = Leases::new(TIMES);
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -20,4 +20,4 @@
 /// Name of a proxy, the same over its streams.
 pub type Proxy = Arc<str>;
 
-pub use plover_model::server::View;
+pub use plover_model::server::ServerStatus;
