--- a/crates/admission/src/descriptors.rs
+++ b/crates/admission/src/descriptors.rs
@@ -4,7 +4,7 @@
 //! one that the list, a data server, a reading of the files or the shutdown needs.
 
 /// Standard input, output and error.
-const STREAMS: u64 = 3;
+const STANDARD_STREAMS: u64 = 3;
 /// The event queue: itself, its bell and its timer; and that of connections to data servers.
 const EVENTS: u64 = 4;
 /// Both ends of the pipe that tells of signals.
@@ -18,86 +18,94 @@
 /// On each of two fronts one that is accepted and waits for a seat.
 const WAITING: u64 = 2;
 /// One for each of them that is kept free: it takes the next client where the system gives no other.
-const KEPT: u64 = 2;
+const MAX_ENTRIES: u64 = 2;
 /// On each of them, those that were told that there is no seat, or made room, and are read on for a moment.
-pub const PARTING: usize = 7;
-const PARTINGS: u64 = 2 * PARTING as u64;
-/// Seats of operators' door: more callers at once than a platform and a few people are.
-pub const DOOR_SEATS: usize = 16;
+pub const FRONT_LINGERING: usize = 7;
+const PARTINGS: u64 = 2 * FRONT_LINGERING as u64;
+/// Seats of operators' admin: more callers at once than a platform and a few people are.
+pub const ADMIN_CONNECTIONS: usize = 16;
 /// One that was turned away there, or made room, and one that is being pushed out by the next.
-pub const DOOR_PARTING: usize = 2;
-/// The same of the door, and its listener.
-const DOOR: u64 = 3 + (DOOR_SEATS + DOOR_PARTING) as u64;
+pub const ADMIN_LINGERING: usize = 2;
+/// The same of the admin, and its listener.
+const ADMIN: u64 = 3 + (ADMIN_CONNECTIONS + ADMIN_LINGERING) as u64;
 /// The hand-over: its listener, one that is just accepted and turned down, and the neighbours' connections and processes, those
 /// included that have lost us and live.
 const NEIGHBOURS: u64 = 4;
-const HAND_OVER: u64 = 2 + 3 * NEIGHBOURS;
-/// The least for clients and data servers together.
+const HANDOVER: u64 = 2 + 3 * NEIGHBOURS;
+/// The min_limit for clients and data servers together.
 const LEAST_SHARED: u64 = 4;
-/// What processes that share a limit have of it at the least, as a part of what one alone would have.
+/// What processes that share a limit have of it at the min_limit, as a part of what one alone would have.
 const LEAST_PART: u64 = 4;
-/// The least limit to serve with, whatever is left out.
+/// The min_limit limit to serve with, whatever is left out.
 const LEAST: u64 = 64;
 
 /// What a process holds beside connections of clients and data servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Own {
-    /// Whether operators have a door.
-    pub door: bool,
+pub struct ProcessDescriptors {
+    /// Whether operators have a admin.
+    pub admin: bool,
     /// Whether there may be another process of this broker.
-    pub hand_over: bool,
+    pub handover: bool,
     /// Descriptors that were handed in at the start and are none of those named here.
     pub foreign: u64,
 }
 
-impl Own {
+impl ProcessDescriptors {
     /// The reserve: the most that is open of all that is not a seat and not a connection to a data server.
     pub fn reserve(&self) -> u64 {
-        let always = STREAMS + EVENTS + SIGNALS + LISTENERS + DISCOVERY + FILES + WAITING + KEPT + PARTINGS;
-        let door = if self.door { DOOR } else { 0 };
-        let hand_over = if self.hand_over { HAND_OVER } else { 0 };
-        always + door + hand_over + self.foreign
+        let always = STANDARD_STREAMS
+            + EVENTS
+            + SIGNALS
+            + LISTENERS
+            + DISCOVERY
+            + FILES
+            + WAITING
+            + MAX_ENTRIES
+            + PARTINGS;
+        let admin = if self.admin { ADMIN } else { 0 };
+        let handover = if self.handover { HANDOVER } else { 0 };
+        always + admin + handover + self.foreign
     }
 
-    /// The least limit to serve with.
-    pub fn least(&self) -> u64 {
+    /// The min_limit limit to serve with.
+    pub fn min_limit(&self) -> u64 {
         LEAST.max(self.reserve() + LEAST_SHARED)
     }
 
     /// Divides what a limit leaves: two thirds for clients' connections, one for those to data servers. The error is the
-    /// least limit that would do.
-    pub fn divide(&self, limit: u64) -> Result<Shared, u64> {
-        if limit < self.least() {
-            return Err(self.least());
+    /// min_limit limit that would do.
+    pub fn divide(&self, limit: u64) -> Result<DescriptorShares, u64> {
+        if limit < self.min_limit() {
+            return Err(self.min_limit());
         }
         let shared = limit - self.reserve();
-        Ok(Shared { clients: shared * 2 / 3, pool: shared / 3 })
+        Ok(DescriptorShares { clients: shared * 2 / 3, pool: shared / 3 })
     }
 }
 
 /// The limit in force, and what the process keeps of it for itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limit {
+pub struct DescriptorLimit {
     /// The most that may be open.
-    pub most: u64,
+    pub max: u64,
     /// The reserve.
     pub reserve: u64,
 }
 
-impl Limit {
+impl DescriptorLimit {
     /// What one of so many processes that share the limit may have of what would be `all` with one alone: each has a
     /// reserve of its own. Where the reserves leave next to nothing, a quarter of the rest is shared all the same.
-    pub fn part(&self, all: usize, copies: usize) -> usize {
-        let copies = copies.max(1) as u64;
-        let alone = self.most.saturating_sub(self.reserve).max(1);
-        let together = self.most.saturating_sub(copies * self.reserve).max(alone / LEAST_PART);
-        ((all as u64 * together / alone / copies) as usize).max(1)
+    pub fn per_process(&self, all: usize, processes: usize) -> usize {
+        let processes = processes.max(1) as u64;
+        let alone = self.max.saturating_sub(self.reserve).max(1);
+        let together = self.max.saturating_sub(processes * self.reserve).max(alone / LEAST_PART);
+        ((all as u64 * together / alone / processes) as usize).max(1)
     }
 }
 
 /// What is left to connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shared {
+pub struct DescriptorShares {
     /// For clients, on all fronts.
     pub clients: u64,
     /// For data servers.
--- a/crates/admission/src/own_time.rs
+++ b/crates/admission/src/overhead.rs
@@ -25,7 +25,7 @@
 
 /// The time that the broker's thread needs.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OwnTime {
+pub struct OverheadEstimator {
     /// Fading sums: parts by microseconds, and parts by parts.
     time: f64,
     square: f64,
@@ -33,7 +33,7 @@
     turn: f64,
 }
 
-impl OwnTime {
+impl OverheadEstimator {
     /// Learns from a turn.
     pub fn observe(&mut self, turn: Turn) {
         let busy = turn.busy as f64;
@@ -48,12 +48,12 @@
 
     /// What a part costs: its sending, the reading of its answer, and its share of what its query and turns cost. It is the
     /// slope of a line through the origin, in which turns with many parts count most. 0 as long as none was seen.
-    pub fn part(&self) -> Duration {
+    pub fn per_part(&self) -> Duration {
         micros(self.time / (self.square + FREE * FREE))
     }
 
     /// How long the thread is busy from one turn to the next, as of late.
-    pub fn turn(&self) -> Duration {
+    pub fn per_turn(&self) -> Duration {
         micros(self.turn)
     }
 }
@@ -72,39 +72,39 @@
 
     #[test]
     fn a_part_costs_what_turns_with_many_take_for_each() {
-        let mut own = OwnTime::default();
-        assert_eq!(own.part(), Duration::ZERO);
+        let mut own = OverheadEstimator::default();
+        assert_eq!(own.per_part(), Duration::ZERO);
         own.observe(turn(500, 0, 0));
-        assert_eq!(own.part(), Duration::ZERO, "a turn without parts tells nothing");
+        assert_eq!(own.per_part(), Duration::ZERO, "a turn without parts tells nothing");
         own.observe(turn(4_000, 690, 0));
         own.observe(turn(4_000, 0, 690));
-        assert!((11..=12).contains(&own.part().as_micros()), "{own:?}");
+        assert!((11..=12).contains(&own.per_part().as_micros()), "{own:?}");
         own.observe(turn(200, 1, 1));
         own.observe(Turn { dialled: true, ..turn(80_000, 690, 0) });
-        assert!((11..=12).contains(&own.part().as_micros()), "{own:?}");
+        assert!((11..=12).contains(&own.per_part().as_micros()), "{own:?}");
     }
 
     #[test]
     fn turns_with_few_parts_make_none_look_dear() {
-        let mut own = OwnTime::default();
+        let mut own = OverheadEstimator::default();
         (0..100).for_each(|_| own.observe(turn(4_000, 1, 1)));
-        assert!(own.part().as_micros() < 100, "{own:?}");
+        assert!(own.per_part().as_micros() < 100, "{own:?}");
     }
 
     #[test]
     fn a_dearer_hour_replaces_a_cheap_one() {
-        let mut own = OwnTime::default();
+        let mut own = OverheadEstimator::default();
         (0..100).for_each(|_| own.observe(turn(1_000, 50, 50)));
         (0..100).for_each(|_| own.observe(turn(4_000, 50, 50)));
-        assert!((70..=80).contains(&own.part().as_micros()), "{own:?}");
+        assert!((70..=80).contains(&own.per_part().as_micros()), "{own:?}");
     }
 
     #[test]
     fn long_turns_are_forgotten_within_some() {
-        let mut own = OwnTime::default();
+        let mut own = OverheadEstimator::default();
         (0..20).for_each(|_| own.observe(turn(40_000, 1_000, 1_000)));
-        assert!(own.turn().as_millis() > 35, "{own:?}");
+        assert!(own.per_turn().as_millis() > 35, "{own:?}");
         (0..20).for_each(|_| own.observe(turn(100, 0, 0)));
-        assert!(own.turn().as_millis() < 1, "{own:?}");
+        assert!(own.per_turn().as_millis() < 1, "{own:?}");
     }
 }
--- a/crates/admission/src/shares.rs
+++ b/crates/admission/src/shares.rs
@@ -1,45 +1,45 @@
-//! Shares of room by connection.
+//! CapacityShares of capacity by connection.
 
 use std::collections::BTreeMap;
 
 /// Number of a client connection, never used twice.
-pub type Connection = u64;
+pub type ConnectionId = u64;
 
-/// A connection may hold up to so many times the room that is still free. This is the dynamic threshold by which
+/// A connection may hold up to so many times the capacity that is still free. This is the dynamic threshold by which
 /// switches share a buffer among ports (Choudhury and Hahne, IEEE/ACM Transactions on Networking 6(2), 1998): one
-/// greedy connection alone comes to hold two thirds, two of them two fifths each, and some room always stays free
+/// greedy connection alone comes to hold two thirds, two of them two fifths each, and some capacity always stays free
 /// for whoever holds nothing. It needs no count of who might still come.
 const TIMES_FREE: usize = 2;
 
-/// The room for queries and parts, and who holds it.
+/// The capacity for queries and parts, and who holds it.
 #[derive(Debug)]
-pub struct Shares {
-    room: usize,
-    held: usize,
-    by_connection: BTreeMap<Connection, usize>,
+pub struct CapacityShares {
+    capacity: usize,
+    in_use: usize,
+    by_connection: BTreeMap<ConnectionId, usize>,
 }
 
-impl Shares {
-    /// So much room, in queries and parts together.
-    pub fn new(room: usize) -> Self {
-        Shares { room, held: 0, by_connection: BTreeMap::new() }
+impl CapacityShares {
+    /// So much capacity, in queries and parts together.
+    pub fn new(capacity: usize) -> Self {
+        CapacityShares { capacity, in_use: 0, by_connection: BTreeMap::new() }
     }
 
-    /// Takes room for a query and its parts. False: the connection holds more than its share already. One that holds
-    /// nothing is never turned away here, however full the room is; whether there is any left is not judged here.
-    pub fn take(&mut self, connection: Connection, units: usize) -> bool {
+    /// Takes capacity for a query and its parts. False: the connection holds more than its share already. One that holds
+    /// nothing is never turned away here, however full the capacity is; whether there is any left is not judged here.
+    pub fn try_acquire(&mut self, connection: ConnectionId, units: usize) -> bool {
         let own = self.by_connection.get(&connection).copied().unwrap_or(0);
-        let free = self.room.saturating_sub(self.held + units);
+        let free = self.capacity.saturating_sub(self.in_use + units);
         if own > 0 && own + units > TIMES_FREE * free {
             return false;
         }
-        self.held += units;
+        self.in_use += units;
         *self.by_connection.entry(connection).or_insert(0) += units;
         true
     }
 
-    /// Gives room back that [`Shares::take`] took.
-    pub fn give_back(&mut self, connection: Connection, units: usize) {
+    /// Gives capacity back that [`CapacityShares::take`] took.
+    pub fn release(&mut self, connection: ConnectionId, units: usize) {
         let Some(own) = self.by_connection.get_mut(&connection) else {
             debug_assert!(false, "connection {connection} gives back what it does not hold");
             return;
@@ -47,24 +47,24 @@
         debug_assert!(units <= *own, "connection {connection} gives back {units} of {own}");
         let units = units.min(*own);
         *own -= units;
-        self.held -= units;
+        self.in_use -= units;
         if *own == 0 {
             self.by_connection.remove(&connection);
         }
     }
 
-    /// Other room, from now on; what is held stays.
-    pub fn set_room(&mut self, room: usize) {
-        self.room = room;
+    /// Other capacity, from now on; what is held stays.
+    pub fn set_capacity(&mut self, capacity: usize) {
+        self.capacity = capacity;
     }
 
     /// Queries and parts that are held.
-    pub fn held(&self) -> usize {
-        self.held
+    pub fn in_use(&self) -> usize {
+        self.in_use
     }
 
     /// Connections that hold something.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.by_connection.len()
     }
 }
@@ -75,33 +75,33 @@
     use proptest::prelude::*;
 
     /// Takes until turned away; how much that was.
-    fn greedy(shares: &mut Shares, connection: Connection) -> usize {
-        let before = shares.held();
-        while shares.take(connection, 1) {}
-        shares.held() - before
+    fn greedy(shares: &mut CapacityShares, connection: ConnectionId) -> usize {
+        let before = shares.in_use();
+        while shares.try_acquire(connection, 1) {}
+        shares.in_use() - before
     }
 
     #[test]
     fn one_connection_leaves_room_for_others() {
-        let mut shares = Shares::new(300);
+        let mut shares = CapacityShares::new(300);
         assert_eq!(greedy(&mut shares, 1), 200);
         assert_eq!(greedy(&mut shares, 2), 66);
-        assert!(shares.take(3, 4), "one that holds nothing found no room");
-        let mut one_each = Shares::new(300);
+        assert!(shares.try_acquire(3, 4), "one that holds nothing found no capacity");
+        let mut one_each = CapacityShares::new(300);
         assert!(
-            (0..100).all(|c| one_each.take(c, 3)),
+            (0..100).all(|c| one_each.try_acquire(c, 3)),
             "connections with one query each are no matter of shares"
         );
     }
 
     #[test]
     fn room_that_comes_back_is_there_for_whoever_asks() {
-        let mut shares = Shares::new(300);
+        let mut shares = CapacityShares::new(300);
         greedy(&mut shares, 1);
         greedy(&mut shares, 2);
-        shares.give_back(1, 200);
-        assert_eq!((shares.held(), shares.connections()), (66, 1));
-        assert!(shares.take(2, 1));
+        shares.release(1, 200);
+        assert_eq!((shares.in_use(), shares.connection_count()), (66, 1));
+        assert!(shares.try_acquire(2, 1));
     }
 
     proptest! {
@@ -109,20 +109,20 @@
         /// in while less than all is taken, and a connection beyond its first query leaves a third of what is free.
         #[test]
         fn the_books_agree(moves in prop::collection::vec((0u64..6, 1usize..8, any::<bool>()), 0..400)) {
-            let mut shares = Shares::new(100);
+            let mut shares = CapacityShares::new(100);
             let mut books: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
             for (c, units, give) in moves {
                 let own = books.entry(c).or_default();
                 if give {
-                    if let Some(units) = own.pop() { shares.give_back(c, units); }
-                } else if shares.take(c, units) {
+                    if let Some(units) = own.pop() { shares.release(c, units); }
+                } else if shares.try_acquire(c, units) {
                     own.push(units);
                     let sum: usize = own.iter().sum();
-                    prop_assert!(own.len() == 1 || sum <= TIMES_FREE * 100usize.saturating_sub(shares.held()));
+                    prop_assert!(own.len() == 1 || sum <= TIMES_FREE * 100usize.saturating_sub(shares.in_use()));
                 } else {
                     prop_assert!(!own.is_empty());
                 }
-                prop_assert_eq!(shares.held(), books.values().flatten().sum::<usize>());
+                prop_assert_eq!(shares.in_use(), books.values().flatten().sum::<usize>());
             }
         }
     }
--- a/crates/broker/src/front/door.rs
+++ b/crates/broker/src/front/door.rs
@@ -11,7 +11,7 @@
 use async_io::Async;
 use futures_lite::{AsyncWriteExt, FutureExt};
 use http::{Method, Request};
-use plover_admission::descriptors::{DOOR_PARTING, DOOR_SEATS};
+use plover_admission::descriptors::{ADMIN_CONNECTIONS, ADMIN_LINGERING};
 use plover_http1::{Limits, Reader, RequestDecoder, Step, encode_response};
 use plover_ops::{BadCall, Call, decode};
 use plover_query::{Response, plain};
@@ -61,7 +61,7 @@
 
 impl Door {
     pub(super) fn new(shared: Rc<Shared>) -> Self {
-        Door { shared, seats: Seats::with_parting(DOOR_SEATS, DOOR_PARTING) }
+        Door { shared, seats: Seats::with_parting(ADMIN_CONNECTIONS, ADMIN_LINGERING) }
     }
 
     async fn call(&self, stream: &Async<TcpStream>, seat: &Seat) -> io::Result<()> {
--- a/crates/broker/src/front/http1.rs
+++ b/crates/broker/src/front/http1.rs
@@ -7,7 +7,7 @@
 use futures_lite::future::yield_now;
 use futures_lite::{AsyncWriteExt, FutureExt};
 use http::{Method, Request, Version};
-use plover_admission::Connection;
+use plover_admission::ConnectionId;
 use plover_http1::{Fault, Limits, Message, Reader, RequestDecoder, Step, encode_response};
 use plover_model::query::Reply;
 use plover_query::{BODY_CAP, HEAD_CAP, Response, Routed, final_answer, refuse_connection};
@@ -235,7 +235,7 @@
     /// The answer to a request, whether that could be used, and whether some of what came behind it is thrown away.
     async fn answer(
         &self,
-        number: Connection,
+        number: ConnectionId,
         request: &Request<Vec<u8>>,
         stream: &Async<TcpStream>,
         input: &mut Vec<u8>,
--- a/crates/broker/src/front/http2/mod.rs
+++ b/crates/broker/src/front/http2/mod.rs
@@ -16,7 +16,7 @@
 use h2::{Reason, RecvStream};
 use http::{Request, Version};
 use io::{SharedWatch, Watch, Watched};
-use plover_admission::Connection;
+use plover_admission::ConnectionId;
 use plover_admission::budget;
 use plover_h2_guard::{Budget, Guard, PREFACE, Violation};
 use plover_http1::{Reader, encode_response};
@@ -57,7 +57,7 @@
 pub struct Http2 {
     shared: Rc<Shared>,
     seats: Rc<Seats>,
-    limits: Cell<budget::Http2>,
+    limits: Cell<budget::Http2Limits>,
     clock: Clock,
 }
 
@@ -92,7 +92,7 @@
 
 impl Http2 {
     /// A front with these limits.
-    pub fn new(shared: Rc<Shared>, limits: budget::Http2, clock: Clock) -> Self {
+    pub fn new(shared: Rc<Shared>, limits: budget::Http2Limits, clock: Clock) -> Self {
         Http2 { shared, seats: Seats::new(limits.connections), limits: Cell::new(limits), clock }
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Takes other limits, for connections that come from now on; the number of these stays.
-    pub fn set_limits(&self, limits: budget::Http2) {
+    pub fn set_limits(&self, limits: budget::Http2Limits) {
         self.limits.set(limits);
     }
 
@@ -145,7 +145,7 @@
 
     async fn connection(
         &self,
-        number: Connection,
+        number: ConnectionId,
         stream: Rc<Async<TcpStream>>,
         seat: &Seat,
         ahead: Vec<u8>,
@@ -223,7 +223,7 @@
 struct Life<'a> {
     front: &'a Http2,
     seat: &'a Seat,
-    number: Connection,
+    number: ConnectionId,
     h2: server::Connection<Watched, Bytes>,
     streams: FuturesUnordered<Served>,
     watch: SharedWatch,
--- a/crates/broker/src/front/http2/stream.rs
+++ b/crates/broker/src/front/http2/stream.rs
@@ -8,7 +8,7 @@
 use h2::{Reason, RecvStream, SendStream};
 use http::header::{CONTENT_LENGTH, HOST, HeaderValue};
 use http::{Method, Request, Response};
-use plover_admission::Connection;
+use plover_admission::ConnectionId;
 use plover_model::query::Reply;
 use plover_query::{BODY_CAP, Routed, final_answer};
 use plover_runtime::clock::{limited, span};
@@ -39,7 +39,7 @@
 /// Serves one request to its end.
 pub(super) async fn serve(
     shared: Rc<Shared>,
-    connection: Connection,
+    connection: ConnectionId,
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
 ) -> End {
--- a/crates/broker/src/front/mod.rs
+++ b/crates/broker/src/front/mod.rs
@@ -22,7 +22,7 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use http::header::{DATE, HeaderValue};
-use plover_admission::{Connection, budget};
+use plover_admission::{ConnectionId, budget};
 use plover_model::time::Micros;
 use plover_ops::Stage;
 use plover_query::{Changing, Response, Routed, Terms, date, route};
@@ -42,7 +42,7 @@
     stage: Cell<Stage>,
     /// Closed, and replaced, when the stage changes.
     moved: RefCell<(Sender<()>, Receiver<()>)>,
-    connections: Cell<Connection>,
+    connections: Cell<ConnectionId>,
     /// The `Date` field of this second, and when that began.
     date: RefCell<(Instant, HeaderValue)>,
 }
@@ -73,7 +73,7 @@
     }
 
     /// A number for a connection, which it keeps.
-    fn next_connection(&self) -> Connection {
+    fn next_connection(&self) -> ConnectionId {
         self.connections.set(self.connections.get() + 1);
         self.connections.get()
     }
@@ -152,7 +152,7 @@
     /// Where those with HTTP/2 do.
     pub http2: Option<Async<TcpListener>>,
     /// What both may hold.
-    pub limits: budget::Fronts,
+    pub limits: budget::FrontLimits,
 }
 
 impl Fronts {
@@ -169,7 +169,7 @@
     }
 
     /// Takes other limits, where that is possible while the program runs.
-    pub fn set_limits(&self, limits: budget::Fronts) {
+    pub fn set_limits(&self, limits: budget::FrontLimits) {
         if let (Some(http2), Some(limits)) = (&self.http2, limits.http2) {
             http2.front.set_limits(limits);
         }
--- a/crates/broker/src/front/seats.rs
+++ b/crates/broker/src/front/seats.rs
@@ -4,7 +4,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::FutureExt;
-use plover_admission::descriptors::PARTING;
+use plover_admission::descriptors::FRONT_LINGERING;
 use plover_runtime::net::linger_for;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -153,7 +153,7 @@
 impl Seats {
     /// So many connections at most.
     pub(super) fn new(most: usize) -> Rc<Self> {
-        Seats::with_parting(most, PARTING)
+        Seats::with_parting(most, FRONT_LINGERING)
     }
 
     /// The same; so many descriptors are kept for those that have no seat any more.
--- a/crates/broker/src/inbox.rs
+++ b/crates/broker/src/inbox.rs
@@ -2,7 +2,7 @@
 
 use async_channel::{Receiver, Sender};
 use futures_lite::future::yield_now;
-use plover_admission::Connection;
+use plover_admission::ConnectionId;
 use plover_frames::{BadFrame, FromServer};
 use plover_model::query::{Ask, QueryId, Reply};
 use plover_model::server::Targets;
@@ -21,7 +21,7 @@
 /// Something that happened since the last turn.
 pub enum Input {
     /// A client asks, on its connection.
-    Ask(QueryId, Connection, Ask, Client),
+    Ask(QueryId, ConnectionId, Ask, Client),
     /// The client of a query has gone.
     Gone(QueryId),
     /// A connection to a data server has news.
@@ -159,7 +159,7 @@
     }
     /// Hands in a query; its reply comes once, unless the ticket is dropped before. That its client has gone shows once its
     /// task has looked so often.
-    pub fn ask(&self, connection: Connection, ask: Ask, looks: usize) -> Ticket<'_> {
+    pub fn ask(&self, connection: ConnectionId, ask: Ask, looks: usize) -> Ticket<'_> {
         let id = self.next_query.get();
         self.next_query.set(id + 1);
         let (client, reply) = Client::new(looks);
--- a/crates/broker/src/operator.rs
+++ b/crates/broker/src/operator.rs
@@ -1,13 +1,13 @@
 //! The operator's own file, as the running program holds it.
 
 use brookbend::api::Semantics;
-use plover_admission::budget::Asked;
+use plover_admission::budget::Http2Settings;
 use plover_config::Config;
 use plover_model::time::{Micros, millis};
 use plover_operator_file::{Faults, LONGEST, LogFormat, LogLevel, Settings, read};
 use plover_pacing::Pacing;
-use plover_routes::Routes;
-use plover_rules::{Breach, ClassFacts, Platform};
+use plover_routes::CompiledRoutes;
+use plover_rules::{ClassSettings, PlatformSettings, Violation};
 use plover_telemetry::Format;
 use std::io::Read;
 use std::path::{Path, PathBuf};
@@ -18,41 +18,42 @@
 #[derive(Clone, Debug, Default)]
 pub struct Operator {
     path: Option<PathBuf>,
-    platform: Option<Platform>,
+    platform: Option<PlatformSettings>,
     settings: Settings,
 }
 
 /// What the platform's rules need to know of a configuration.
-pub fn platform(config: &Config) -> Platform {
-    let classes = config.settings.classes.iter().zip(&config.names.classes).map(|(class, name)| ClassFacts {
-        name: name.clone(),
-        give_up: millis(class.give_up),
-        window: match class.semantics {
-            Semantics::Keyed { window } => Some(millis(window)),
-            Semantics::Safe => None,
-            // A part that may have run must not be repeated at all.
-            Semantics::Unsafe => Some(0),
-        },
-    });
-    Platform {
+pub fn platform(config: &Config) -> PlatformSettings {
+    let classes =
+        config.settings.classes.iter().zip(&config.names.classes).map(|(class, name)| ClassSettings {
+            name: name.clone(),
+            give_up: millis(class.give_up),
+            window: match class.semantics {
+                Semantics::Keyed { window } => Some(millis(window)),
+                Semantics::Safe => None,
+                // A part that may have run must not be repeated at all.
+                Semantics::Unsafe => Some(0),
+            },
+        });
+    PlatformSettings {
         classes: classes.collect(),
         tenants: config.names.tenants.clone(),
-        most_attempts: config.settings.max_attempts,
+        max_attempts: config.settings.max_attempts,
         tick: millis(config.settings.tick),
-        dial: config.pool.dial_timeout,
+        dial_timeout: config.pool.dial_timeout,
     }
 }
 
 /// Reads a file's text, and holds it against the platform's rules where these are known.
-pub fn read_checked(name: &str, text: &str, platform: Option<&Platform>) -> Result<Settings, Faults> {
+pub fn read_checked(name: &str, text: &str, platform: Option<&PlatformSettings>) -> Result<Settings, Faults> {
     let settings = read(name, text)?;
     let breaches = platform.map_or_else(Vec::new, |platform| plover_rules::check(&settings.table, platform));
     if breaches.is_empty() {
         return Ok(settings);
     }
-    let fault = |b: Breach| {
-        let what = format!("{} (rule: {}; from {})", b.what, b.rule, b.rule.source());
-        (b.at.span, what, b.holds)
+    let fault = |b: Violation| {
+        let what = format!("{} (rule: {}; from {})", b.problem, b.rule, b.rule.source());
+        (b.at.span, what, b.remedy)
     };
     Err(Faults::found(name, text, breaches.into_iter().map(fault)))
 }
@@ -71,7 +72,7 @@
 impl Operator {
     /// Reads the file at a start; without one, all is as the platform's configuration has it.
     /// With the platform's rules, what breaks one of them is refused, here and whenever it is read again.
-    pub fn load(path: Option<PathBuf>, platform: Option<Platform>) -> Result<Self, String> {
+    pub fn load(path: Option<PathBuf>, platform: Option<PlatformSettings>) -> Result<Self, String> {
         let settings = match &path {
             Some(path) => Self::parse(path, platform.as_ref())?,
             None => Settings::default(),
@@ -85,14 +86,14 @@
         Ok(Operator { path: None, platform: None, settings })
     }
 
-    fn parse(path: &Path, platform: Option<&Platform>) -> Result<Settings, String> {
+    fn parse(path: &Path, platform: Option<&PlatformSettings>) -> Result<Settings, String> {
         let name = path.display().to_string();
         read_checked(&name, &read_text(path)?, platform).map_err(|faults| faults.to_string())
     }
 
     /// Reads the file again, whole or not at all, and holds it against the platform's rules as they will be: nothing is
     /// changed by this.
-    pub fn reread(&self, platform: &Platform) -> Result<Settings, String> {
+    pub fn reread(&self, platform: &PlatformSettings) -> Result<Settings, String> {
         let parse = |path| Self::parse(path, self.platform.is_some().then_some(platform));
         self.path.as_deref().map_or_else(|| Ok(self.settings.clone()), parse)
     }
@@ -103,7 +104,7 @@
     }
 
     /// Takes what was read while the program runs, and logs what takes effect and what waits for a restart.
-    pub fn adopt(&mut self, new: &Settings, platform: Platform) {
+    pub fn adopt(&mut self, new: &Settings, platform: PlatformSettings) {
         self.platform = self.platform.take().map(|_| platform);
         let changes = self.settings.changes(new);
         self.adopt_quietly(new);
@@ -122,7 +123,7 @@
     }
 
     /// What is set for queries, where the classes have these names.
-    pub fn routes(&self, classes: &[String]) -> Arc<Routes> {
+    pub fn routes(&self, classes: &[String]) -> Arc<CompiledRoutes> {
         Arc::new(self.settings.table.compile(classes))
     }
 
@@ -149,9 +150,9 @@
     }
 
     /// What the HTTP/2 front is asked to hold, if there is to be one.
-    pub fn http2(&self) -> Option<Asked> {
+    pub fn http2(&self) -> Option<Http2Settings> {
         let http2 = self.settings.http2?;
-        Some(Asked {
+        Some(Http2Settings {
             connections: http2.connections,
             streams: http2.streams,
             connection_window: http2.connection_window,
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -3,17 +3,17 @@
 use crate::inbox::{Client, Presence};
 use crate::upstream::{Ended, Send};
 use brookbend::api::{Semantics, Settings};
-use plover_admission::{Connection, Shares};
+use plover_admission::{CapacityShares, ConnectionId};
 use plover_core::{Dispatch, Query};
 use plover_frames::PartId;
 use plover_handover::wire::{Whose, Word};
 use plover_handover::{Keyed, Neighbours};
-use plover_limits::{Gate, Permit};
+use plover_limits::{Permit, QueryLimiter};
 use plover_model::query::{Ask, AttemptId, Names, Proof, QueryId, Reply};
 use plover_model::server::Outcome;
 use plover_model::time::{Micros, millis};
 use plover_ops::{Books, Census, End, Row};
-use plover_repeats::{Heard, Key, Repeats, Verdict};
+use plover_repeats::{IdempotencyKey, KeyEvent, KeyRegister, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use tracing::{Span, debug, debug_span, info, warn};
@@ -24,11 +24,11 @@
 /// A query in hand. Dropping it drops the way to its client, so it is dropped with its one reply.
 struct Pending {
     row: Row,
-    connection: Connection,
+    connection: ConnectionId,
     permit: Permit,
     ask: Ask,
     /// Its key, in a class that has them registered, and for how long its repeats are dropped.
-    key: Option<(Key, Micros)>,
+    key: Option<(IdempotencyKey, Micros)>,
     client: Client,
     /// The value of each part that is in.
     values: Vec<Option<String>>,
@@ -90,22 +90,22 @@
     Word::Opened { id: ask.id.as_ref().to_owned(), units: units(ask) as u32, owner }
 }
 
-fn whose(key: &Key, window: Option<Micros>) -> Whose {
+fn whose(key: &IdempotencyKey, window: Option<Micros>) -> Whose {
     Whose { owner: key.owner.as_ref().to_owned(), window }
 }
 
-fn word(of: &Key, window: Option<Micros>, heard: Heard, origin: Micros) -> Word {
+fn word(of: &IdempotencyKey, window: Option<Micros>, heard: KeyEvent, origin: Micros) -> Word {
     let (key, whose) = (of.text.as_ref().to_owned(), whose(of, window));
     match heard {
-        Heard::Opened { until } => Word::KeyOpened { key, until: origin + until, whose },
-        Heard::Sent { shard, at, until } => {
+        KeyEvent::Opened { until } => Word::KeyOpened { key, until: origin + until, whose },
+        KeyEvent::Sent { shard, at, until } => {
             let (shard, at, until) = (shard as u32, origin + at, origin + until);
             Word::KeySent { key, shard, at, until, whose }
         }
-        Heard::Ended { shard, at, proof } => {
+        KeyEvent::Ended { shard, at, proof } => {
             Word::KeyEnded { key, shard: shard as u32, at: origin + at, proof, whose }
         }
-        Heard::Closed { answered } => Word::KeyClosed { key, at: origin, answered, whose },
+        KeyEvent::Closed { answered } => Word::KeyClosed { key, at: origin, answered, whose },
     }
 }
 
@@ -145,13 +145,13 @@
     pending: BTreeMap<QueryId, Pending>,
     /// The requests' ids: parts go by them on the wire.
     ids: BTreeSet<Rc<str>>,
-    shares: Shares,
-    repeats: Repeats,
+    shares: CapacityShares,
+    repeats: KeyRegister,
     /// Of each class, by its index.
     windows: Vec<Option<Micros>>,
-    gate: Gate,
+    gate: QueryLimiter,
     /// Attempts that are out under a key.
-    keyed: BTreeMap<AttemptId, (Key, Micros, usize)>,
+    keyed: BTreeMap<AttemptId, (IdempotencyKey, Micros, usize)>,
     max_retry_after: Option<Micros>,
     /// Those that have ended since the last time.
     over: Vec<QueryId>,
@@ -172,15 +172,15 @@
         let mut books = Books::default();
         let rows = names.classes.iter().map(|name| books.row(name)).collect();
         let (window, keep) = repeat_times(settings);
-        let mut repeats = Repeats::new(window, keep, KEYS);
-        repeats.allow_copies(settings.second_copies);
+        let mut repeats = KeyRegister::new(window, keep, KEYS);
+        repeats.allow_hedging(settings.second_copies);
         Queries {
             pending: BTreeMap::new(),
             ids: BTreeSet::new(),
-            shares: Shares::new(room),
+            shares: CapacityShares::new(room),
             repeats,
             windows: windows(settings),
-            gate: Gate::new(seed),
+            gate: QueryLimiter::new(seed),
             keyed: BTreeMap::new(),
             max_retry_after: settings.max_retry_after.map(millis),
             over: Vec::new(),
@@ -205,7 +205,7 @@
     /// All that a process that has just come has to hear.
     pub(crate) fn tell_all(&self) -> Vec<Word> {
         let mut words: Vec<Word> = self.pending.values().map(|p| opened(&p.ask, &p.permit)).collect();
-        self.repeats.tell(|key, window, heard| words.push(word(key, window, heard, self.origin)));
+        self.repeats.replay(|key, window, heard| words.push(word(key, window, heard, self.origin)));
         words
     }
 
@@ -213,34 +213,34 @@
     pub(crate) fn hear(&mut self, now: Micros, word: Word) {
         let at = |shared: Micros| shared.saturating_sub(self.origin);
         let (key, whose, heard) = match word {
-            Word::KeyOpened { key, until, whose } => (key, whose, Heard::Opened { until: at(until) }),
+            Word::KeyOpened { key, until, whose } => (key, whose, KeyEvent::Opened { until: at(until) }),
             Word::KeySent { key, shard, at: sent, until, whose } => {
-                (key, whose, Heard::Sent { shard: shard as usize, at: at(sent), until: at(until) })
+                (key, whose, KeyEvent::Sent { shard: shard as usize, at: at(sent), until: at(until) })
             }
             Word::KeyEnded { key, shard, at: ended, proof, whose } => {
-                (key, whose, Heard::Ended { shard: shard as usize, at: at(ended), proof })
+                (key, whose, KeyEvent::Ended { shard: shard as usize, at: at(ended), proof })
             }
-            Word::KeyClosed { key, answered, whose, .. } => (key, whose, Heard::Closed { answered }),
+            Word::KeyClosed { key, answered, whose, .. } => (key, whose, KeyEvent::Closed { answered }),
             Word::Recall(_) | Word::Told | Word::Opened { .. } | Word::Closed { .. } => return,
         };
-        let key = Key { text: key.into(), owner: whose.owner.into() };
-        if !self.repeats.hear(now, &key, whose.window, heard) {
-            warn!(name: "key_unheard", held = self.repeats.held());
+        let key = IdempotencyKey { text: key.into(), owner: whose.owner.into() };
+        if !self.repeats.apply(now, &key, whose.window, heard) {
+            warn!(name: "key_unheard", held = self.repeats.key_count());
         }
     }
 
     /// So many processes are this broker.
     pub(crate) fn set_copies(&mut self, copies: u32) {
-        self.gate.set_copies(copies);
+        self.gate.set_process_count(copies);
     }
 
     /// Goes by other settings for queries that come from now on; those in hand keep what they have.
     pub(crate) fn retune(&mut self, settings: &Settings, names: &Names, room: usize) {
         let (window, keep) = repeat_times(settings);
-        self.repeats.retune(window, keep);
-        self.repeats.allow_copies(settings.second_copies);
+        self.repeats.reconfigure(window, keep);
+        self.repeats.allow_hedging(settings.second_copies);
         self.windows = windows(settings);
-        self.shares.set_room(room);
+        self.shares.set_capacity(room);
         self.max_retry_after = settings.max_retry_after.map(millis);
         self.rows = names.classes.iter().map(|name| self.books.row(name)).collect();
         self.names.clone_from(names);
@@ -248,17 +248,17 @@
 
     /// Others begin at these tenants' indices.
     pub(crate) fn forget_tenants(&mut self, tenants: &[usize]) {
-        self.gate.forget_tenants(tenants);
+        self.gate.remove_tenants(tenants);
     }
 
     /// The key of a query whose class has them registered, and for how long its repeats are dropped.
-    fn key_of(&self, ask: &Ask) -> Option<(Key, Micros)> {
+    fn key_of(&self, ask: &Ask) -> Option<(IdempotencyKey, Micros)> {
         let window = self.windows.get(ask.class).copied().flatten()?;
         let name = |names: &[String], i: usize| names.get(i).cloned().unwrap_or_default();
         let (tenant, class) = (name(&self.names.tenants, ask.tenant), name(&self.names.classes, ask.class));
         // No name that a header can carry holds the zero between them.
         let owner = format!("{tenant}\0{class}").into();
-        Some((Key { text: ask.key.clone()?, owner }, window))
+        Some((IdempotencyKey { text: ask.key.clone()?, owner }, window))
     }
 
     /// Those that have ended since the last time.
@@ -325,7 +325,7 @@
         &mut self,
         now: Micros,
         id: QueryId,
-        connection: Connection,
+        connection: ConnectionId,
         ask: Ask,
         client: Client,
         beside: Beside<'_>,
@@ -347,19 +347,18 @@
             return answered(Reply::Bad { status: 400, why });
         }
         let units = units(&ask);
-        if !self.shares.take(connection, units) {
-            info!(name: "share_full", connection, held = self.shares.held());
+        if !self.shares.try_acquire(connection, units) {
+            info!(name: "share_full", connection, held = self.shares.in_use());
             return answered(Reply::Refused { retry_after: self.max_retry_after });
         }
-        let mut permit = match self
-            .gate
-            .take_beside(now, &ask.limits, ask.tenant, |owner| beside.0.map_or(0, |n| n.in_hand(owner)))
-        {
+        let mut permit = match self.gate.admit_with_siblings(now, &ask.limits, ask.tenant, |owner| {
+            beside.0.map_or(0, |n| n.in_hand(owner))
+        }) {
             Ok(permit) => permit,
             Err(refused) => {
-                self.shares.give_back(connection, units);
+                self.shares.release(connection, units);
                 info!(name: "limit_reached", limit = refused.limit, section = %refused.owner, tenant = ask.tenant, shared = refused.shared);
-                let retry_after = self.max_retry_after.map(|most| most.min(refused.wait));
+                let retry_after = self.max_retry_after.map(|most| most.min(refused.retry_after));
                 return answered(Reply::Refused { retry_after });
             }
         };
@@ -372,8 +371,8 @@
                 Keyed::May => self.repeats.open(now, key, shards, give_up_at, *window),
             };
             if verdict != Verdict::Serve {
-                self.shares.give_back(connection, units);
-                self.gate.give_back(std::mem::take(&mut permit));
+                self.shares.release(connection, units);
+                self.gate.release(std::mem::take(&mut permit));
                 info!(name: "key_repeated", connection, id = %ask.id, verdict = ?verdict);
             }
             match verdict {
@@ -400,7 +399,7 @@
         span.in_scope(|| debug!(name: "query_taken", class = ask.class, parts = ask.parts.len()));
         if let Some(words) = &mut self.words {
             words.push(opened(&ask, &permit));
-            let heard = Heard::Opened { until: give_up_at };
+            let heard = KeyEvent::Opened { until: give_up_at };
             words.extend(keyed.iter().map(|(key, window)| word(key, Some(*window), heard, self.origin)));
         }
         self.ids.insert(ask.id.clone());
@@ -437,15 +436,16 @@
         let mut pending = self.pending.remove(&query)?;
         self.over.push(query);
         self.books.end(pending.row, end);
-        self.gate.give_back(std::mem::take(&mut pending.permit));
+        self.gate.release(std::mem::take(&mut pending.permit));
         if let Some(words) = &mut self.words {
             words.push(Word::Closed { id: pending.ask.id.as_ref().to_owned() });
-            let heard = Heard::Closed { answered: end == End::Succeeded };
-            let closed = |(key, window): &(Key, Micros)| word(key, Some(*window), heard, self.origin);
+            let heard = KeyEvent::Closed { answered: end == End::Succeeded };
+            let closed =
+                |(key, window): &(IdempotencyKey, Micros)| word(key, Some(*window), heard, self.origin);
             words.extend(pending.key.as_ref().map(closed));
         }
         self.ids.remove(&pending.ask.id);
-        self.shares.give_back(pending.connection, pending.units());
+        self.shares.release(pending.connection, pending.units());
         if let Some((key, _)) = &pending.key {
             self.repeats.close(now, key, end == End::Succeeded);
         }
@@ -462,12 +462,12 @@
             if !self.repeats.may_send(now, key, part.shard) {
                 return Err(Held::Repeat);
             }
-            by = self.repeats.until(key, part.shard).unwrap_or(by);
+            by = self.repeats.window_end(key, part.shard).unwrap_or(by);
             if let Some(words) = &mut self.words {
-                let heard = Heard::Sent { shard: part.shard, at: now, until: d.until };
+                let heard = KeyEvent::Sent { shard: part.shard, at: now, until: d.until };
                 words.push(word(key, Some(*window), heard, self.origin));
             }
-            self.repeats.sent(now, key, part.shard, d.until);
+            self.repeats.attempt_sent(now, key, part.shard, d.until);
             self.keyed.insert(d.attempt, (key.clone(), *window, part.shard));
         }
         pending.span.in_scope(
@@ -494,9 +494,9 @@
                 Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled => Proof::MayRun,
             };
             if let Some(words) = &mut self.words {
-                words.push(word(&key, Some(window), Heard::Ended { shard, at: now, proof }, self.origin));
+                words.push(word(&key, Some(window), KeyEvent::Ended { shard, at: now, proof }, self.origin));
             }
-            self.repeats.ended(now, &key, shard, proof);
+            self.repeats.attempt_ended(now, &key, shard, proof);
         }
         let Some(pending) = self.pending.get_mut(&ended.attempt.query) else { return };
         pending
--- a/crates/broker/src/reload.rs
+++ b/crates/broker/src/reload.rs
@@ -2,7 +2,7 @@
 
 use crate::operator::{Operator, platform};
 use brookbend::api::Settings;
-use plover_admission::budget::{Fronts, Given, divide};
+use plover_admission::budget::{ClientBudget, FrontLimits, divide};
 use plover_config::{self as config, Config, InForce};
 use plover_core::{Core, Placed};
 use plover_model::query::Names;
@@ -18,7 +18,7 @@
     /// What the platform said.
     in_force: InForce,
     /// What the platform gives to client connections.
-    clients: Given,
+    clients: ClientBudget,
     /// Descriptors that were handed in at the start and are none of ours.
     foreign: u64,
     /// Files taken and turned down at SIGHUP.
@@ -30,13 +30,13 @@
 pub(crate) struct Fresh {
     pub(crate) config: Config,
     /// What the fronts may hold.
-    pub(crate) limits: Fronts,
+    pub(crate) limits: FrontLimits,
     pub(crate) placed: Placed,
 }
 
 impl Files {
     /// As they were at the start.
-    pub(crate) fn new(operator: Operator, in_force: InForce, clients: Given, foreign: u64) -> Self {
+    pub(crate) fn new(operator: Operator, in_force: InForce, clients: ClientBudget, foreign: u64) -> Self {
         Files { operator, in_force, clients, foreign, taken: 0, turned_down: 0 }
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// What the fronts may hold; the error names what does not fit.
-    pub(crate) fn limits(&self) -> Result<Fronts, String> {
+    pub(crate) fn limits(&self) -> Result<FrontLimits, String> {
         divide(self.clients, self.operator.http2())
     }
 
--- a/crates/broker/src/room.rs
+++ b/crates/broker/src/room.rs
@@ -1,13 +1,13 @@
 //! Room by need: moves descriptors between clients and data servers, and finds what becomes of queries that lack
-//! connections. What is decided is decided in [`plover_admission::room`].
+//! connections. What is decided is decided in [`plover_admission::capacity`].
 
 use crate::front::Fronts;
 use crate::queries::Queries;
 use crate::upstream::{Upstream, Way};
 use brookbend::api::Settings;
 use plover_admission::budget;
-use plover_admission::descriptors::{Limit, Shared};
-use plover_admission::room::{self, Course, Need, Peak, Plan};
+use plover_admission::capacity::{self, Demand, Shortage, ShortageAction, SlidingMaximum};
+use plover_admission::descriptors::{DescriptorLimit, DescriptorShares};
 use plover_core::{Core, Dispatch};
 use plover_model::query::{AttemptId, Names, QueryId};
 use plover_model::server::NodeId;
@@ -24,9 +24,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Given {
     /// The limit, which all processes of this broker share.
-    pub(crate) limit: Limit,
+    pub(crate) limit: DescriptorLimit,
     /// How it is usually divided.
-    pub(crate) usual: Shared,
+    pub(crate) usual: DescriptorShares,
     /// The most that the memory allows of HTTP/1.1 connections, and the seats of HTTP/2.
     pub(crate) http1_most: usize,
     pub(crate) http2: usize,
@@ -34,10 +34,16 @@
 
 impl Given {
     /// From what the platform gives to clients, and how the fronts divide that.
-    pub(crate) fn new(limit: Limit, clients: budget::Given, pool: usize, fronts: &budget::Fronts) -> Self {
-        let usual = Shared { clients: clients.sockets, pool: pool as u64 };
+    pub(crate) fn new(
+        limit: DescriptorLimit,
+        clients: budget::ClientBudget,
+        pool: usize,
+        fronts: &budget::FrontLimits,
+    ) -> Self {
+        let usual = DescriptorShares { clients: clients.sockets, pool: pool as u64 };
         let http2 = fronts.http2.map_or(0, |h| h.connections);
-        let http1_most = budget::http1_most(clients, fronts).min(usual.clients + usual.pool) as usize;
+        let http1_most =
+            budget::max_http1_connections(clients, fronts).min(usual.clients + usual.pool) as usize;
         Given { limit, usual, http1_most, http2 }
     }
 }
@@ -57,9 +63,9 @@
 pub(crate) struct Room {
     given: Given,
     copies: usize,
-    divided: room::Room,
-    clients: Peak,
-    pool: Peak,
+    divided: capacity::ConnectionCapacity,
+    clients: SlidingMaximum,
+    pool: SlidingMaximum,
     /// Connections that the widest plan takes which the settings allow.
     widest: u64,
     /// One side holds what the other needs.
@@ -77,9 +83,9 @@
         let mut room = Room {
             given,
             copies: 1,
-            divided: room::Room::new(given.usual, u64::MAX),
-            clients: Peak::new(LATELY),
-            pool: Peak::new(LATELY),
+            divided: capacity::ConnectionCapacity::new(given.usual, u64::MAX),
+            clients: SlidingMaximum::new(LATELY),
+            pool: SlidingMaximum::new(LATELY),
             widest: 0,
             moving: false,
             lacked: BTreeSet::new(),
@@ -95,8 +101,8 @@
     pub(crate) fn retune(&mut self, given: Given, settings: &Settings, names: &Names, max_open: usize) {
         let http2 = self.given.http2.min((given.usual.clients / 4).max(1) as usize);
         if given.limit != self.given.limit {
-            let (most, reserve) = (given.limit.most, given.limit.reserve);
-            let Shared { clients, pool } = given.usual;
+            let (most, reserve) = (given.limit.max, given.limit.reserve);
+            let DescriptorShares { clients, pool } = given.usual;
             info!(name: "descriptors_changed", most, reserve, clients, servers = pool);
         }
         self.given = Given { http2, ..given };
@@ -111,24 +117,27 @@
     }
 
     fn part(&self, all: usize) -> usize {
-        self.given.limit.part(all, self.copies)
+        self.given.limit.per_process(all, self.copies)
     }
 
     fn divide_anew(&mut self) {
-        let Shared { clients, pool } = self.given.usual;
+        let DescriptorShares { clients, pool } = self.given.usual;
         let part = |all: u64| self.part(all as usize) as u64;
         let most = self.part(self.given.http1_most) + self.part(self.given.http2);
-        self.divided = room::Room::new(Shared { clients: part(clients), pool: part(pool) }, most as u64);
+        self.divided = capacity::ConnectionCapacity::new(
+            DescriptorShares { clients: part(clients), pool: part(pool) },
+            most as u64,
+        );
     }
 
     /// Looks at what the settings allow, and tells of classes whose widest queries can never have their connections.
     fn plan(&mut self, settings: &Settings, names: &Names, max_open: usize) {
-        self.widest = room::widest(settings.shards, settings.cells, max_open);
-        let have = self.divided.pool_most();
+        self.widest = capacity::max_fan_out(settings.shards, settings.cells, max_open);
+        let have = self.divided.max_pool();
         for (class, name) in settings.classes.iter().zip(&names.classes) {
-            let need = room::needed(self.widest, class.need);
+            let need = capacity::connections_needed(self.widest, class.need);
             if need > have {
-                let floor = room::needed(self.widest, class.floor);
+                let floor = capacity::connections_needed(self.widest, class.floor);
                 warn!(name: "plan_too_wide", class = %name, need, floor, have, widest = self.widest);
             }
         }
@@ -142,15 +151,15 @@
         let http2_held = http2.max(http2_seats);
         let (sockets, free) = upstream.room();
         let servers = upstream.known();
-        let seen = |now_needed: usize, peak: &mut Peak| {
-            let lately = peak.see(now, now_needed as u64);
-            Need { now: now_needed as u64, lately }
+        let seen = |now_needed: usize, peak: &mut SlidingMaximum| {
+            let lately = peak.observe(now, now_needed as u64);
+            Demand { now: now_needed as u64, recent: lately }
         };
         let clients = seen(fronts.busy() + http2_held, &mut self.clients);
         let out = (upstream.out() + parts).max(self.widest as usize).min(servers);
         let pool = seen(out, &mut self.pool);
         let target = self.divided.divide(clients, pool);
-        let open = Shared { clients: (http1 + http2_held) as u64, pool: upstream.open() as u64 };
+        let open = DescriptorShares { clients: (http1 + http2_held) as u64, pool: upstream.open() as u64 };
         let caps = self.divided.caps(target, open);
         self.moving = caps != target || open.clients > target.clients || open.pool > target.pool;
         if caps.pool as usize != sockets || free == 0 {
@@ -261,23 +270,23 @@
         let servers: BTreeSet<&NodeId> = of_query(dispatches, query).map(|d| &d.server).collect();
         let without: Vec<AttemptId> =
             of_query(dispatches, query).filter(|d| lacking.contains(&d.server)).map(|d| d.attempt).collect();
-        let plan = Plan {
-            lacking: without.iter().map(|attempt| queries.weight(query, attempt.part)).sum(),
-            left_out: sight.left_out,
-            servers_lacking: lacking.len(),
+        let plan = Shortage {
+            missing_weight: without.iter().map(|attempt| queries.weight(query, attempt.part)).sum(),
+            omitted_weight: sight.left_out,
+            missing_servers: lacking.len(),
             servers: servers.len(),
         };
         let (pool, _) = upstream.room();
-        let course = room::course(&plan, pool, need, floor);
+        let course = capacity::shortage_action(&plan, pool, need, floor);
         match course {
-            Course::Send => {}
-            Course::Again => self.lacked.extend(without.iter().map(|attempt| (query, attempt.part))),
-            Course::LeaveOut => {
+            ShortageAction::Send => {}
+            ShortageAction::Retry => self.lacked.extend(without.iter().map(|attempt| (query, attempt.part))),
+            ShortageAction::Omit => {
                 self.in_part += u64::from(sight.left_out == 0.0);
             }
-            Course::Refuse => self.refused += 1,
+            ShortageAction::Refuse => self.refused += 1,
         }
-        if matches!(course, Course::LeaveOut | Course::Refuse) {
+        if matches!(course, ShortageAction::Omit | ShortageAction::Refuse) {
             for attempt in &without {
                 queries.leave_out(query, attempt.part);
                 core.leave_out(query, attempt.part);
@@ -286,7 +295,7 @@
             let (class, refused, in_part) = (queries.class_name(sight.class), self.refused, self.in_part);
             warn!(name: "query_too_wide", class, need = plan.servers, lacking = lacking.len(), room = pool, refused, in_part);
         }
-        let goes = |attempt: &AttemptId| course != Course::Refuse && !without.contains(attempt);
+        let goes = |attempt: &AttemptId| course != ShortageAction::Refuse && !without.contains(attempt);
         let of_it = AttemptId { query, part: 0, attempt: 0 }..=AttemptId {
             query,
             part: usize::MAX,
@@ -294,10 +303,10 @@
         };
         let never = dispatches.extract_if(of_it, |attempt, _| !goes(attempt));
         fitted.never.extend(never.map(|(attempt, _)| attempt));
-        if course == Course::Refuse && !sight.begun {
+        if course == ShortageAction::Refuse && !sight.begun {
             fitted.refused.push(query);
         }
-        course != Course::Refuse
+        course != ShortageAction::Refuse
     }
 }
 
--- a/crates/broker/src/room/tests.rs
+++ b/crates/broker/src/room/tests.rs
@@ -8,7 +8,7 @@
 use async_io::Async;
 use futures_lite::future::yield_now;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use plover_admission::descriptors::Own;
+use plover_admission::descriptors::ProcessDescriptors;
 use plover_core::{Final, Report, Verdict};
 use plover_frames::FromServer;
 use plover_model::limits::PoolLimits;
@@ -46,9 +46,9 @@
 }
 
 fn given(clients: u64, pool: u64) -> Given {
-    let reserve = Own::default().reserve();
-    let limit = Limit { most: reserve + clients + pool, reserve };
-    Given { limit, usual: Shared { clients, pool }, http1_most: clients as usize, http2: 0 }
+    let reserve = ProcessDescriptors::default().reserve();
+    let limit = DescriptorLimit { max: reserve + clients + pool, reserve };
+    Given { limit, usual: DescriptorShares { clients, pool }, http1_most: clients as usize, http2: 0 }
 }
 
 fn server(n: usize) -> NodeId {
@@ -309,7 +309,7 @@
     let listener = || Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let http1 = listener();
     let to = http1.get_ref().local_addr().unwrap();
-    let limits = budget::Fronts { http1_connections: 60, http2: None };
+    let limits = budget::FrontLimits { http1_connections: 60, http2: None };
     let plan = FrontPlan { http1, inherited: false, door: None, http2: None, limits };
     let fronts = Fronts::start(shared, plan, clock, executor.clone());
     let work = async {
--- a/crates/broker/src/run.rs
+++ b/crates/broker/src/run.rs
@@ -123,7 +123,7 @@
     };
     let on_list = inbox.clone();
     let list: Sink = Rc::new(move |targets| on_list.put(Input::Targets(targets)));
-    let (given, most) = (config.sockets, config.descriptors.most);
+    let (given, most) = (config.sockets, config.descriptors.max);
     if most < given {
         warn!(name: "descriptors_short", given, most);
     }
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -14,7 +14,7 @@
 use brookbend::refusals::Refusals;
 use futures_lite::FutureExt;
 use futures_lite::future::yield_now;
-use plover_admission::{Connection, OwnTime, Turn};
+use plover_admission::{ConnectionId, OverheadEstimator, Turn};
 use plover_core::{Core, Decisions, Dispatch, Final, Query, Report, Verdict};
 use plover_discovery::{Discovery, Times};
 use plover_handover::{Keyed, Neighbours};
@@ -62,14 +62,14 @@
 /// What the thread's time until a turn's end was spent on.
 #[derive(Debug, Default)]
 pub(crate) struct Accounted {
-    own: OwnTime,
+    own: OverheadEstimator,
     /// The thread's busy time, and connections dialled, by the end of the last turn.
     busy: Micros,
     dialled: u64,
 }
 
 /// A query as it comes out of the inbox.
-type Asked = (QueryId, Connection, Ask, Client);
+type Asked = (QueryId, ConnectionId, Ask, Client);
 
 impl Broker {
     /// Begins with the list as it is remembered; what is on may have to be waited for.
@@ -84,7 +84,7 @@
         loop {
             let now = self.clock.now();
             let own = &self.accounted.own;
-            self.core.set_own_time(own.part(), own.turn(), self.busy.total());
+            self.core.set_own_time(own.per_part(), own.per_turn(), self.busy.total());
             let (sent, ended) = self.turn(now).await;
             self.account(sent, ended);
             let superseded = self.parts.beside().is_some_and(Neighbours::has_newer);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -2,8 +2,8 @@
 
 use brookbend::api::{Semantics, Settings};
 use brookbend::settings::{self, Message, Site};
-use plover_admission::budget::Given;
-use plover_admission::descriptors::{Limit, Own};
+use plover_admission::budget::ClientBudget;
+use plover_admission::descriptors::{DescriptorLimit, ProcessDescriptors};
 use plover_model::limits::PoolLimits;
 use plover_model::query::Names;
 use plover_model::server::Targets;
@@ -55,18 +55,18 @@
     /// Most queries and parts in hand.
     pub max_open: usize,
     /// What client connections may take.
-    pub clients: Given,
+    pub clients: ClientBudget,
     /// The limits for connections to data servers.
     pub pool: PoolLimits,
     /// The limit of descriptors in force.
-    pub descriptors: Limit,
+    pub descriptors: DescriptorLimit,
     /// Figures that are not kept to as they stand, or that turn down what the rest of the settings allows: a line each, for
     /// the log.
     pub notes: Vec<String>,
     /// The descriptors that the platform gives (`limits.sockets`); the system may give fewer, see [`Config::within`].
     pub sockets: u64,
     /// Those of the process itself.
-    own: Own,
+    own: ProcessDescriptors,
 }
 
 impl Config {
@@ -91,7 +91,7 @@
                 limit.map_or("none".to_owned(), |limit| limit.to_string()),
             )
         })?;
-        self.descriptors = Limit { most, reserve: self.own.reserve() };
+        self.descriptors = DescriptorLimit { max: most, reserve: self.own.reserve() };
         self.clients.sockets = shared.clients;
         self.pool.sockets = shared.pool as usize;
         Ok(self)
@@ -249,7 +249,7 @@
         Some((_, text)) => return Err(format!("RELAY_FD: {text:?} is not the number of a descriptor")),
     };
     let hand_over = inherited.and_then(|_| env_of("TMPDIR")).map(PathBuf::from);
-    let own = Own { door: ops.is_some(), hand_over: hand_over.is_some(), foreign: 0 };
+    let own = ProcessDescriptors { admin: ops.is_some(), handover: hand_over.is_some(), foreign: 0 };
     if sockets > MOST_SOCKETS {
         let why = format!("({sockets}) is more than a process can ever hold: {MOST_SOCKETS} at the most");
         return m.inner("limits")?.bad("sockets", &why);
@@ -280,7 +280,7 @@
         seed,
         known,
         max_open: site.max_open.unwrap_or(MAX_OPEN) as usize,
-        clients: Given { sockets: shared.clients, memory, http1_holds: CLIENT_HOLDS },
+        clients: ClientBudget { sockets: shared.clients, memory, http1_connection_bytes: CLIENT_HOLDS },
         pool: PoolLimits {
             sockets: shared.pool as usize,
             batch: site.settings.batch,
@@ -295,7 +295,7 @@
             ..Names::default()
         },
         settings: site.settings,
-        descriptors: Limit { most: sockets, reserve: own.reserve() },
+        descriptors: DescriptorLimit { max: sockets, reserve: own.reserve() },
         sockets,
         own,
     })
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -31,13 +31,13 @@
     ] {
         config["limits"]["sockets"] = json!(sockets);
         let config = check(&config, |_| None).unwrap().within(system, None).unwrap();
-        assert_eq!((config.sockets, config.descriptors.most), (sockets, most));
+        assert_eq!((config.sockets, config.descriptors.max), (sockets, most));
         let shared = most - config.descriptors.reserve;
         let divided = config.clients.sockets + config.pool.sockets as u64;
         assert!(divided <= shared && divided + 1 >= shared, "{divided} of {shared}");
     }
     config["limits"].as_object_mut().unwrap().remove("sockets");
-    assert_eq!(check(&config, |_| None).unwrap().descriptors.most, 1024);
+    assert_eq!(check(&config, |_| None).unwrap().descriptors.max, 1024);
     for too_many in [json!(u64::from(u32::MAX)), json!(u64::MAX)] {
         config["limits"]["sockets"] = too_many.clone();
         let error = check(&config, |_| None).unwrap_err();
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -7,7 +7,7 @@
 use plover_core::{Core, Decisions, Query, Report, Verdict};
 use plover_model::server::{ListScope, NodeId, Outcome, ServerInfo};
 use plover_model::time::{Micros, SECOND};
-use plover_routes::Routes;
+use plover_routes::CompiledRoutes;
 use serde_json::{Value, json};
 
 const SITES: [(&str, &str); 2] = [
@@ -164,7 +164,8 @@
         for class in &config.names.classes {
             id += 1;
             let request = request(id, class);
-            let ask = plover_query::decode(&request, &config.names, &config.settings, &Routes::default());
+            let ask =
+                plover_query::decode(&request, &config.names, &config.settings, &CompiledRoutes::default());
             let ask = ask.unwrap_or_else(|reply| panic!("{of}: {class} is answered {reply:?}"));
             let query = Query {
                 id,
--- a/crates/core/tests/simulated/day.rs
+++ b/crates/core/tests/simulated/day.rs
@@ -1,7 +1,7 @@
 //! A broker whose thread takes time for what it does, its data servers, and the queries that are offered to it.
 
 use brookbend::api::{Class, ColdRule, ListSource, NodeState, Semantics, Settings};
-use plover_admission::{OwnTime, Turn};
+use plover_admission::{OverheadEstimator, Turn};
 use plover_core::{Core, Decisions, Query, Report, Verdict};
 use plover_model::query::{AttemptId, PartSpec, QueryId};
 use plover_model::server::{ListScope, NodeId, Outcome, ServerInfo};
@@ -83,7 +83,7 @@
     /// Draws arrivals, where these are to be the same whatever happens in the day.
     arrivals: Option<Pcg64Mcg>,
     busy: Micros,
-    own: OwnTime,
+    own: OverheadEstimator,
     /// The queries that are in hand or still to be taken.
     asked: BTreeMap<QueryId, Asked>,
     waiting: VecDeque<(Micros, QueryId)>,
@@ -165,7 +165,7 @@
             random: Pcg64Mcg::seed_from_u64(9),
             arrivals: None,
             busy: 0,
-            own: OwnTime::default(),
+            own: OverheadEstimator::default(),
             asked: BTreeMap::new(),
             waiting: VecDeque::new(),
             next_query: 1,
@@ -216,7 +216,7 @@
     /// One turn, which takes what its work takes, and the wait for the next.
     fn turn(&mut self) {
         let (now, busy) = (self.now, self.busy);
-        self.core.set_own_time(self.own.part(), self.own.turn(), busy);
+        self.core.set_own_time(self.own.per_part(), self.own.per_turn(), busy);
         let mut reports = Vec::new();
         while let Some(entry) = self.out.first_entry().filter(|entry| entry.key().0 <= now) {
             let ((_, attempt), out) = entry.remove_entry();
--- a/crates/h2-guard/src/lib.rs
+++ b/crates/h2-guard/src/lib.rs
@@ -13,7 +13,7 @@
 pub use frames::{Kind, PREFACE};
 
 use frames::{Frame, Scanner};
-use plover_limits::Bucket;
+use plover_limits::TokenBucket;
 use plover_model::time::Micros;
 use std::fmt;
 
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 pub struct Guard {
     budget: Budget,
-    bucket: Bucket,
+    bucket: TokenBucket,
     scanner: Scanner,
     begun: Option<Micros>,
     settled: bool,
@@ -83,7 +83,7 @@
     pub fn new(now: Micros, budget: Budget) -> Self {
         Guard {
             budget,
-            bucket: Bucket::new(now, budget.burst, budget.per_second),
+            bucket: TokenBucket::new(now, budget.burst, budget.per_second),
             scanner: Scanner::default(),
             begun: Some(now),
             settled: false,
@@ -126,13 +126,13 @@
             Kind::Settings | Kind::Ping => u32::from(!frame.is_ack()),
             Kind::WindowUpdate | Kind::Reset | Kind::Priority | Kind::GoAway | Kind::Other => 1,
         };
-        if self.bucket.take(now, tokens) { Ok(()) } else { Err(Violation::Flood(frame.kind)) }
+        if self.bucket.try_take(now, tokens) { Ok(()) } else { Err(Violation::Flood(frame.kind)) }
     }
 
     /// A request was answered with a body of so many bytes, which its reader owes some window updates for.
     pub fn answered(&mut self, body: usize) {
         let updates = u32::try_from(body / 1024).unwrap_or(u32::MAX);
-        self.bucket.put(self.budget.per_answer.saturating_add(updates));
+        self.bucket.add(self.budget.per_answer.saturating_add(updates));
     }
 
     /// Since when the preface, a frame or a header block is half-sent.
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,19 +1,19 @@
 //! Rates and what may be in hand, by the sections of the operator's file that set them, in injected time.
 //!
-//! One [`Gate`] owns all counts. A query that is let in holds a [`Permit`], and [`Gate::give_back`] is the one place where
+//! One [`QueryLimiter`] owns all counts. A query that is let in holds a [`Permit`], and [`QueryLimiter::release`] is the one place where
 //! that comes back: it counts by its section's name, not by the limit, so that a limit that was changed or taken out of the
 //! file while its queries are in hand loses none and gets none too many.
 
 mod bucket;
 
-pub use bucket::Bucket;
+pub use bucket::TokenBucket;
 
 use plover_model::query::{Owner, QueryLimits, Rate};
 use plover_model::time::{Micros, SECOND};
 use std::collections::BTreeMap;
 
 /// Most buckets that are kept. A full one says nothing and is dropped first; beyond that, tenants share the last.
-pub const MOST_BUCKETS: usize = 4096;
+pub const MAX_BUCKETS: usize = 4096;
 /// Full ones are looked for so often at the most: new names without end must not cost a look at all of them each.
 const SWEEPS: Micros = SECOND / 10;
 /// Where a limit in hand says nothing of when room comes back, a client is asked back after so long.
@@ -33,28 +33,28 @@
 
 /// A query that is not let in.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct LimitExceeded {
     /// The section whose limit it would pass.
     pub owner: Owner,
     /// The limit's keyword.
     pub limit: &'static str,
     /// When to come back.
-    pub wait: Micros,
+    pub retry_after: Micros,
     /// Whether it was its own rate, or one shared with other tenants, for want of room for more buckets.
     pub shared: bool,
 }
 
 /// All counts of rates and of queries in hand.
 #[derive(Debug)]
-pub struct Gate {
+pub struct QueryLimiter {
     in_hand: BTreeMap<Owner, u32>,
-    buckets: BTreeMap<(Owner, usize), (Rate, Bucket)>,
+    buckets: BTreeMap<(Owner, usize), (Rate, TokenBucket)>,
     /// The bucket that all tenants share, of whatever section, who find no room for one of their own.
-    others: Option<(Rate, Bucket)>,
+    others: Option<(Rate, TokenBucket)>,
     /// Before this, full buckets are not looked for again.
     next_sweep: Micros,
     /// Processes that are this broker together: each takes for all.
-    copies: u32,
+    processes: u32,
     seed: u64,
     refused: u64,
 }
@@ -67,15 +67,15 @@
     z ^ (z >> 31)
 }
 
-impl Gate {
+impl QueryLimiter {
     /// Nothing in hand; the seed spreads when clients are asked back.
     pub fn new(seed: u64) -> Self {
-        Gate {
+        QueryLimiter {
             in_hand: BTreeMap::new(),
             buckets: BTreeMap::new(),
             others: None,
             next_sweep: 0,
-            copies: 1,
+            processes: 1,
             seed,
             refused: 0,
         }
@@ -83,35 +83,40 @@
 
     /// Lets a query of a tenant in, or says when it may come back. A query that its limit in hand turns away costs its
     /// tenant no token.
-    pub fn take(&mut self, now: Micros, limits: &QueryLimits, tenant: usize) -> Result<Permit, Refused> {
-        self.take_beside(now, limits, tenant, |_| 0)
+    pub fn admit(
+        &mut self,
+        now: Micros,
+        limits: &QueryLimits,
+        tenant: usize,
+    ) -> Result<Permit, LimitExceeded> {
+        self.admit_with_siblings(now, limits, tenant, |_| 0)
     }
 
     /// So many processes are this broker from now on: while there are several, a query costs a token for each, so that
     /// all together let no more in than one would.
-    pub fn set_copies(&mut self, copies: u32) {
-        self.copies = copies.max(1);
+    pub fn set_process_count(&mut self, processes: u32) {
+        self.processes = processes.max(1);
     }
 
     /// The same, where other processes of this broker have so many queries in hand that count for a section.
-    pub fn take_beside(
+    pub fn admit_with_siblings(
         &mut self,
         now: Micros,
         limits: &QueryLimits,
         tenant: usize,
         elsewhere: impl Fn(&Owner) -> u32,
-    ) -> Result<Permit, Refused> {
+    ) -> Result<Permit, LimitExceeded> {
         if let Some((owner, most)) = &limits.most_in_hand
-            && self.in_hand(owner).saturating_add(elsewhere(owner)) >= *most
+            && self.in_flight(owner).saturating_add(elsewhere(owner)) >= *most
         {
             return Err(self.refuse(owner, "most-in-hand", IN_HAND_WAIT, false));
         }
         if let Some((owner, rate)) = &limits.rate {
             // A bucket that never holds so many would let none in at all.
-            let cost = self.copies.min(rate.burst);
+            let cost = self.processes.min(rate.burst);
             let bucket = self.bucket(now, owner, *rate, tenant);
-            if !bucket.take(now, cost) {
-                let wait = bucket.wait(cost).unwrap_or(SECOND);
+            if !bucket.try_take(now, cost) {
+                let wait = bucket.time_until(cost).unwrap_or(SECOND);
                 let shared = !self.buckets.contains_key(&(owner.clone(), tenant));
                 return Err(self.refuse(owner, "rate", wait, shared));
             }
@@ -124,7 +129,7 @@
     }
 
     /// Takes back what a query held.
-    pub fn give_back(&mut self, permit: Permit) {
+    pub fn release(&mut self, permit: Permit) {
         let Some(owner) = permit.0 else { return };
         match self.in_hand.get_mut(&owner) {
             Some(n) if *n > 1 => *n -= 1,
@@ -134,41 +139,41 @@
     }
 
     /// Others begin at these tenants' indices: the tokens that the tenants before took are none of theirs.
-    pub fn forget_tenants(&mut self, tenants: &[usize]) {
+    pub fn remove_tenants(&mut self, tenants: &[usize]) {
         self.buckets.retain(|(_, tenant), _| !tenants.contains(tenant));
     }
 
     /// Queries in hand that count for a section.
-    pub fn in_hand(&self, owner: &Owner) -> u32 {
+    pub fn in_flight(&self, owner: &Owner) -> u32 {
         self.in_hand.get(owner).copied().unwrap_or(0)
     }
 
     /// Buckets that are kept.
-    pub fn buckets(&self) -> usize {
+    pub fn bucket_count(&self) -> usize {
         self.buckets.len()
     }
 
     /// Those who are turned away together must not all come back together: up to half as long again.
-    fn refuse(&mut self, owner: &Owner, limit: &'static str, wait: Micros, shared: bool) -> Refused {
+    fn refuse(&mut self, owner: &Owner, limit: &'static str, wait: Micros, shared: bool) -> LimitExceeded {
         self.refused = self.refused.wrapping_add(1);
         let spread = mix(self.seed ^ self.refused) % (wait / 2 + 1);
-        Refused { owner: owner.clone(), limit, wait: wait + spread, shared }
+        LimitExceeded { owner: owner.clone(), limit, retry_after: wait + spread, shared }
     }
 
-    fn bucket(&mut self, now: Micros, owner: &Owner, rate: Rate, tenant: usize) -> &mut Bucket {
+    fn bucket(&mut self, now: Micros, owner: &Owner, rate: Rate, tenant: usize) -> &mut TokenBucket {
         let key = (owner.clone(), tenant);
-        let made = || (rate, Bucket::new(now, rate.burst, rate.per_second));
-        if !self.buckets.contains_key(&key) && self.buckets.len() >= MOST_BUCKETS && now >= self.next_sweep {
+        let made = || (rate, TokenBucket::new(now, rate.burst, rate.per_second));
+        if !self.buckets.contains_key(&key) && self.buckets.len() >= MAX_BUCKETS && now >= self.next_sweep {
             self.next_sweep = now + SWEEPS;
             self.buckets.retain(|_, (_, bucket)| !bucket.is_full(now));
         }
-        let (had, bucket) = if self.buckets.len() >= MOST_BUCKETS && !self.buckets.contains_key(&key) {
+        let (had, bucket) = if self.buckets.len() >= MAX_BUCKETS && !self.buckets.contains_key(&key) {
             self.others.get_or_insert_with(made)
         } else {
             self.buckets.entry(key).or_insert_with(made)
         };
         if *had != rate {
-            bucket.retune(now, rate.burst, rate.per_second);
+            bucket.reconfigure(now, rate.burst, rate.per_second);
             *had = rate;
         }
         bucket
--- a/crates/operator-file/src/sections.rs
+++ b/crates/operator-file/src/sections.rs
@@ -7,7 +7,9 @@
 use http::HeaderName;
 use plover_model::query::Rate;
 use plover_model::time::{MILLI, SECOND};
-use plover_routes::{ClassSection, MOST_ROUTES, Matcher, Overrides, Place, RouteSection, Set, Table};
+use plover_routes::{
+    ClassSection, MAX_ROUTES, Matcher, Overrides, RouteSection, RouteTable, Setting, SourceLocation,
+};
 use std::collections::BTreeMap;
 
 /// Longest time that may be written.
@@ -29,7 +31,7 @@
 /// The sections that were read, and the one that is open.
 #[derive(Debug, Default)]
 pub(crate) struct Sections {
-    table: Table,
+    table: RouteTable,
     open: Open,
     /// The lines on which each section begins, and on which each keyword stands in the open one.
     begun: BTreeMap<String, usize>,
@@ -48,7 +50,7 @@
     }
 
     /// All sections, and their words.
-    pub(crate) fn end(mut self) -> (Table, Vec<String>) {
+    pub(crate) fn end(mut self) -> (RouteTable, Vec<String>) {
         self.close();
         (self.table, self.words)
     }
@@ -56,8 +58,8 @@
     fn sets(&mut self) -> Option<&mut Overrides> {
         match &mut self.open {
             Open::Defaults => Some(&mut self.table.defaults),
-            Open::Class(class) => Some(&mut class.sets),
-            Open::Route(route) => Some(&mut route.sets),
+            Open::Class(class) => Some(&mut class.overrides),
+            Open::Route(route) => Some(&mut route.overrides),
             Open::None | Open::Faulty => None,
         }
     }
@@ -147,18 +149,20 @@
             return self.fault(&line.keyword, format!("{key} is given twice"), expected);
         }
         self.sections.begun.insert(key, at.line);
-        if kind == "route" && self.sections.table.routes.len() >= MOST_ROUTES {
+        if kind == "route" && self.sections.table.routes.len() >= MAX_ROUTES {
             return self.fault(
                 &line.keyword,
                 "one route too many".to_owned(),
-                format!("expected {MOST_ROUTES} at most"),
+                format!("expected {MAX_ROUTES} at most"),
             );
         }
         let name_at = name.as_ref().map_or(at, |n| self.place(n));
         let (name, sets) = (name.map(|n| n.text).unwrap_or_default(), Overrides::default());
         self.sections.open = match kind.as_str() {
-            "class" => Open::Class(ClassSection { name, at: name_at, sets }),
-            "route" => Open::Route(RouteSection { name, at: name_at, matcher: Matcher::default(), sets }),
+            "class" => Open::Class(ClassSection { name, at: name_at, overrides: sets }),
+            "route" => {
+                Open::Route(RouteSection { name, at: name_at, matcher: Matcher::default(), overrides: sets })
+            }
             _ => Open::Defaults,
         };
     }
@@ -199,19 +203,22 @@
         }
     }
 
-    fn set(&mut self, name: &str, word: &str, second: &str, at: Place) -> Result<(), String> {
+    fn set(&mut self, name: &str, word: &str, second: &str, at: SourceLocation) -> Result<(), String> {
         let mut unused = Overrides::default();
         let sets = self.sections.sets().unwrap_or(&mut unused);
         let time = |word: &str| values::span(word, &(MILLI..=LONGEST));
         match name {
-            "time-out" => sets.time_out = Some(Set { value: time(word)?, at }),
-            "attempt-time-out" => sets.attempt_time_out = Some(Set { value: time(word)?, at }),
+            "time-out" => sets.time_out = Some(Setting { value: time(word)?, at }),
+            "attempt-time-out" => sets.attempt_time_out = Some(Setting { value: time(word)?, at }),
             // More than the platform's most is found with the rule that it breaks.
-            "attempts" => sets.attempts = Some(Set { value: values::whole(word, &(1..=100))? as u32, at }),
+            "attempts" => {
+                sets.attempts = Some(Setting { value: values::whole(word, &(1..=100))? as u32, at })
+            }
             "most-in-hand" => {
-                sets.most_in_hand = Some(Set { value: values::whole(word, &(0..=1_000_000))? as u32, at });
+                sets.most_in_hand =
+                    Some(Setting { value: values::whole(word, &(0..=1_000_000))? as u32, at });
             }
-            _ => sets.rate = Some(Set { value: rate(word, second)?, at }),
+            _ => sets.rate = Some(Setting { value: rate(word, second)?, at }),
         }
         Ok(())
     }
--- a/crates/operator-file/src/settings.rs
+++ b/crates/operator-file/src/settings.rs
@@ -6,7 +6,7 @@
 use crate::sections::Sections;
 use crate::{LONGEST, values};
 use plover_model::time::{MILLI, Micros, SECOND};
-use plover_routes::{Place, Table};
+use plover_routes::{RouteTable, SourceLocation};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -114,7 +114,7 @@
     /// Longest wait for parts that could share a call; `None`: a tick of the settings.
     pub gather: Option<Micros>,
     /// What is set by class and route.
-    pub table: Table,
+    pub table: RouteTable,
     /// The sections' words, a line each.
     sections: Vec<String>,
     /// The arguments as they stand in the file, by keyword.
@@ -197,8 +197,8 @@
 
 impl Reading<'_> {
     /// The line of a word.
-    pub(crate) fn place(&self, word: &Word) -> Place {
-        Place { span: word.span.clone(), line: self.source.place(word.span.start).0 }
+    pub(crate) fn place(&self, word: &Word) -> SourceLocation {
+        SourceLocation { span: word.span.clone(), line: self.source.place(word.span.start).0 }
     }
 
     pub(crate) fn fault(&mut self, word: &Word, what: String, expected: impl Into<String>) {
--- a/crates/operator-file/tests/files.rs
+++ b/crates/operator-file/tests/files.rs
@@ -96,15 +96,15 @@
         (lookup.name.as_str(), lookup.at.line, &SECTIONED[lookup.at.span.clone()]),
         ("lookup", 4, "lookup")
     );
-    assert_eq!(lookup.sets.time_out.as_ref().map(|s| (s.value, s.at.line)), Some((1_500_000, 5)));
+    assert_eq!(lookup.overrides.time_out.as_ref().map(|s| (s.value, s.at.line)), Some((1_500_000, 5)));
     let route = &table.routes[0];
     let fields = [
         (http::HeaderName::from_static("x-kind"), Some("report".to_owned())),
         (http::HeaderName::from_static("x-other"), None),
     ];
     assert_eq!((route.name.as_str(), route.matcher.headers.as_slice()), ("slow-reports", &fields[..]));
-    assert_eq!(route.sets.rate.as_ref().map(|s| (s.value.per_second, s.value.burst)), Some((100, 20)));
-    assert_eq!(route.sets.attempt_time_out.as_ref().map(|s| s.value), Some(900_000));
+    assert_eq!(route.overrides.rate.as_ref().map(|s| (s.value.per_second, s.value.burst)), Some((100, 20)));
+    assert_eq!(route.overrides.attempt_time_out.as_ref().map(|s| s.value), Some(900_000));
     // A comment more is no change, another figure is one.
     let same = read("f", &SECTIONED.replace("# the aim", "")).unwrap();
     assert_eq!(settings.changes(&same), Changes::default());
--- a/crates/placement/src/layout.rs
+++ b/crates/placement/src/layout.rs
@@ -2,7 +2,7 @@
 
 use crate::model::Model;
 use crate::proposal::Terms;
-use plover_ranges::Standing;
+use plover_ranges::NodeStatus;
 
 /// Measures of a node: memory, processor, disk, connection, reads.
 pub const MEASURES: usize = 5;
@@ -117,7 +117,7 @@
 
     /// Whether what a node holds counts as served.
     fn counts(&self, node: usize) -> bool {
-        self.model.nodes[node].standing != Standing::Unheard
+        self.model.nodes[node].standing != NodeStatus::Unreachable
     }
 
     fn add(&mut self, range: usize, node: usize, sign: f64) {
@@ -258,7 +258,7 @@
     pub(crate) fn moved_enough(&self, range: usize, from: usize) -> bool {
         let (model, now) = (self.model, &self.holders[range]);
         let home = &model.ranges[range].holders;
-        let stays = |&&node: &&usize| model.nodes[node].standing != Standing::Leaving;
+        let stays = |&&node: &&usize| model.nodes[node].standing != NodeStatus::Leaving;
         let gone = home.iter().filter(stays).filter(|node| !now.contains(node)).count();
         home.contains(&from) && stays(&&from) && gone >= model.ranges[range].most
     }
@@ -315,7 +315,8 @@
         }
         // A range without bytes leaves too: each counts a byte.
         let leaves = |leaving: bool| f64::from(leaving) * (model.ranges[range].bytes + 1.0) / model.all_bytes;
-        let leaving = leaves(other.standing == Standing::Leaving) - leaves(one.standing == Standing::Leaving);
+        let leaving =
+            leaves(other.standing == NodeStatus::Leaving) - leaves(one.standing == NodeStatus::Leaving);
         way.plain += w.leaving * leaving;
         let had = &model.ranges[range].holders;
         if !had.contains(&to) {
@@ -386,7 +387,7 @@
             cross: far / model.all_answers,
             ..Terms::default()
         };
-        let leaves = (0..model.nodes.len()).filter(|&node| model.nodes[node].standing == Standing::Leaving);
+        let leaves = (0..model.nodes.len()).filter(|&node| model.nodes[node].standing == NodeStatus::Leaving);
         let bytes: f64 =
             leaves.flat_map(|node| &self.on[node]).map(|&range| model.ranges[range].bytes + 1.0).sum();
         terms.leaving = bytes / model.all_bytes;
--- a/crates/placement/src/model.rs
+++ b/crates/placement/src/model.rs
@@ -3,7 +3,7 @@
 use crate::settings::Settings;
 use crate::view::View;
 use plover_model::time::SECOND;
-use plover_ranges::{Node, NodeName, RangeId, Standing};
+use plover_ranges::{Node, NodeName, NodeStatus, RangeId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A node.
@@ -14,7 +14,7 @@
     /// Index of its zone.
     pub zone: usize,
     /// How it stands; nodes of the map that nothing is known of count as unheard.
-    pub standing: Standing,
+    pub standing: NodeStatus,
     /// Memory, processor, disk and connection: what is 1 in the shares.
     pub room: [f64; 4],
     /// Bytes a second that its disk reads.
@@ -187,7 +187,7 @@
                 self.holding[node] = true;
             }
         }
-        for (node, hot) in self.nodes.iter().zip(hot).filter(|(node, _)| node.standing == Standing::Warm) {
+        for (node, hot) in self.nodes.iter().zip(hot).filter(|(node, _)| node.standing == NodeStatus::Warm) {
             self.memory_most = self.memory_most.max(hot / node.room[0]);
         }
         self.serving = self.holding.iter().filter(|&&holding| holding).count().max(1);
@@ -237,7 +237,7 @@
                 }
             }
             let holders: Vec<usize> = holders.into_iter().collect();
-            let heard = |&&node: &&usize| self.nodes[node].standing != Standing::Unheard;
+            let heard = |&&node: &&usize| self.nodes[node].standing != NodeStatus::Unreachable;
             let live = holders.iter().filter(heard).count();
             let each = 1.0 / live.max(1) as f64;
             let load = view.fleet.loads.get(&held.id);
@@ -312,15 +312,15 @@
 
     /// Whether a range may go to this node at all.
     pub fn takes(&self, range: usize, node: usize) -> bool {
-        self.nodes[node].standing == Standing::Warm && !self.ranges[range].barred.contains(&node)
+        self.nodes[node].standing == NodeStatus::Warm && !self.ranges[range].barred.contains(&node)
     }
 
     /// Whether a range may be taken off this node.
     pub fn lets_go(&self, range: usize, node: usize) -> bool {
         match self.nodes[node].standing {
-            Standing::Leaving => !self.ranges[range].fixed,
-            Standing::Warm => !self.ranges[range].fixed && !self.ranges[range].rests,
-            Standing::Cold | Standing::Unheard => false,
+            NodeStatus::Leaving => !self.ranges[range].fixed,
+            NodeStatus::Warm => !self.ranges[range].fixed && !self.ranges[range].rests,
+            NodeStatus::Cold | NodeStatus::Unreachable => false,
         }
     }
 
@@ -372,7 +372,7 @@
         None => NodeFacts {
             name: name.clone(),
             zone: zone_of(""),
-            standing: Standing::Unheard,
+            standing: NodeStatus::Unreachable,
             room: [1.0; 4],
             read: 1.0,
             write: 1.0,
@@ -380,7 +380,7 @@
         Some(node) => NodeFacts {
             name: name.clone(),
             zone: zone_of(&node.zone),
-            standing: node.standing,
+            standing: node.status,
             room: [real(node.memory), real(node.work_rate), real(node.disk), real(node.net_rate)],
             read: real(node.read_rate),
             write: real(node.write_rate),
--- a/crates/placement/src/order.rs
+++ b/crates/placement/src/order.rs
@@ -5,7 +5,7 @@
 use crate::layout::{Effect, Layout, MEASURES};
 use crate::model::Model;
 use crate::proposal::{Proposal, Reason, Relocation, Step};
-use plover_ranges::Standing;
+use plover_ranges::NodeStatus;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
 
@@ -310,7 +310,7 @@
 
     fn reason(&self, (range, from, to): Move, effect: &Effect) -> Reason {
         let model = self.layout.model;
-        if model.nodes[from].standing == Standing::Leaving {
+        if model.nodes[from].standing == NodeStatus::Leaving {
             return Reason::Leaving;
         }
         if self.layout.zones_of(range) < model.zones_wanted(range) {
--- a/crates/placement/src/planner.rs
+++ b/crates/placement/src/planner.rs
@@ -9,7 +9,7 @@
 use crate::view::View;
 use crate::watch::Watch;
 use plover_model::time::Micros;
-use plover_ranges::{Fleet, MapVersion, NodeName, RangeId, RangeMap, Standing};
+use plover_ranges::{Fleet, MapVersion, NodeName, NodeStatus, RangeId, RangeMap};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
@@ -94,8 +94,8 @@
 
     /// A move of a plan begins; from now on it is remembered, however it ends.
     pub fn begun(&mut self, relocation: &Relocation, fleet: &Fleet, now: Micros) {
-        let standing = fleet.nodes.get(&relocation.from).map(|node| node.standing);
-        self.memory.begun(relocation, standing == Some(Standing::Leaving), now);
+        let standing = fleet.nodes.get(&relocation.from).map(|node| node.status);
+        self.memory.begun(relocation, standing == Some(NodeStatus::Leaving), now);
     }
 
     /// A range became others by a split or a merge.
@@ -133,7 +133,8 @@
 
     fn agreed(&self, view: &View<'_>, told: &Told) -> Result<(), Still> {
         let ours = view.map.version();
-        for (name, node) in view.fleet.nodes.iter().filter(|(_, node)| node.standing != Standing::Unheard) {
+        for (name, node) in view.fleet.nodes.iter().filter(|(_, node)| node.status != NodeStatus::Unreachable)
+        {
             if node.age > self.rules.old {
                 return Err(Still::OldNode(name.clone()));
             }
@@ -148,7 +149,7 @@
     /// Puts smoothed loads into the fleet, and says what stays.
     fn guard(&self, view: &View<'_>, fleet: &mut Fleet, now: Micros) -> Result<Guard, Still> {
         let mut guard = self.memory.guard(view.map, &self.rules, now);
-        let (mut old, ranges) = (0, view.map.count());
+        let (mut old, ranges) = (0, view.map.range_count());
         for held in view.map.ranges() {
             match self.watch.load(held.id, now) {
                 Some(load) => {
--- a/crates/placement/src/search.rs
+++ b/crates/placement/src/search.rs
@@ -11,7 +11,7 @@
 use crate::proposal::Proposal;
 use crate::settings::Settings;
 use crate::view::View;
-use plover_ranges::{NodeName, RangeId, Standing};
+use plover_ranges::{NodeName, NodeStatus, RangeId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -40,7 +40,7 @@
                 (0..model.nodes.len()).filter(|&node| barred.contains(&model.nodes[node].name)).collect();
         }
     }
-    let empty = |&node: &usize| !model.holding[node] && model.nodes[node].standing == Standing::Warm;
+    let empty = |&node: &usize| !model.holding[node] && model.nodes[node].standing == NodeStatus::Warm;
     let empties = (0..model.nodes.len()).filter(empty).count();
     if empties == 0 {
         return plan(&model, guard.urgent, false);
@@ -98,7 +98,7 @@
         let guide = Guide::new(&layout, 3);
         let mut listed = vec![Vec::new(); model.zones.len()];
         for (node, facts) in model.nodes.iter().enumerate() {
-            if facts.standing == Standing::Warm && (empty_too || model.holding[node]) {
+            if facts.standing == NodeStatus::Warm && (empty_too || model.holding[node]) {
                 listed[facts.zone].push(node);
             }
         }
@@ -151,7 +151,7 @@
     /// Nodes that leave, then the fullest.
     fn by_pressure(&self) -> Vec<usize> {
         let model = self.layout.model;
-        let stays = |node: usize| model.nodes[node].standing != Standing::Leaving;
+        let stays = |node: usize| model.nodes[node].standing != NodeStatus::Leaving;
         // Nothing is drawn for empty ones: the plan without them must not depend on how many there are.
         let holds = |node: &usize| !self.layout.on(*node).is_empty();
         let mut nodes: Vec<(bool, f64, usize)> = (0..model.nodes.len())
@@ -165,7 +165,7 @@
     fn may_leave(&self, range: usize, from: usize) -> bool {
         let model = self.layout.model;
         let urgent = || {
-            model.nodes[from].standing == Standing::Leaving
+            model.nodes[from].standing == NodeStatus::Leaving
                 || self.layout.zones_of(range) < model.zones_wanted(range)
         };
         model.lets_go(range, from) && (!self.urgent || urgent()) && !self.layout.moved_enough(range, from)
@@ -229,7 +229,7 @@
     /// Whether nothing but shares, crossing and cost is at stake in a move off this node.
     fn calm(&self, range: usize, from: usize) -> bool {
         let model = self.layout.model;
-        model.nodes[from].standing == Standing::Warm
+        model.nodes[from].standing == NodeStatus::Warm
             && self.layout.zones_of(range) >= model.zones_wanted(range)
     }
 
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -165,7 +165,7 @@
         ];
         let rules = [
             (all.iter().all(|v| (0.0..=1000.0).contains(v)), "weights", "0 to 1000"),
-            ((1..=plover_ranges::MOST_REPLICAS).contains(&self.zones), "zones", "1 to 64"),
+            ((1..=plover_ranges::MAX_REPLICAS).contains(&self.zones), "zones", "1 to 64"),
             (self.disk_most > 0.0 && self.disk_most <= 1.0, "disk_most", "over 0, up to 1"),
             (self.memory_most > 0.0 && self.memory_most <= 10.0, "memory_most", "over 0, up to 10"),
             (self.pays >= SECOND, "pays", "1s and more"),
--- a/crates/placement/tests/placement/props.rs
+++ b/crates/placement/tests/placement/props.rs
@@ -3,7 +3,7 @@
 use crate::support::fleets::{KINDS, Yard, fleet, name};
 use crate::support::player::play;
 use plover_placement::{Guard, Proposal, Relocation, propose};
-use plover_ranges::Standing;
+use plover_ranges::NodeStatus;
 use proptest::prelude::*;
 
 fn plan(yard: &Yard, moving: &[Relocation]) -> Proposal {
@@ -13,10 +13,10 @@
 /// Small fleets of all kinds, some with less disk, some with nodes that are cold, leave or are silent.
 fn yards() -> impl Strategy<Value = Yard> {
     let standing = prop_oneof![
-        6 => Just(Standing::Warm),
-        1 => Just(Standing::Cold),
-        1 => Just(Standing::Leaving),
-        1 => Just(Standing::Unheard)
+        6 => Just(NodeStatus::Warm),
+        1 => Just(NodeStatus::Cold),
+        1 => Just(NodeStatus::Leaving),
+        1 => Just(NodeStatus::Unreachable)
     ];
     let stands = proptest::collection::vec(standing, 12);
     (0..12usize, 8..=12usize, 20..60usize, any::<u64>(), 0.55..1.0f64, 1..=4usize, 1..=4usize, stands)
@@ -24,8 +24,8 @@
             let mut yard = fleet(KINDS[kind], nodes, ranges, seed);
             for (node, standing) in yard.fleet.nodes.values_mut().zip(stands) {
                 node.disk = (node.disk as f64 * disk) as u64;
-                if node.standing == Standing::Warm {
-                    node.standing = standing;
+                if node.status == NodeStatus::Warm {
+                    node.status = standing;
                 }
             }
             yard.settings.zones = zones;
@@ -87,7 +87,7 @@
         yard.settings.moves = few;
         let without = plan(&yard, &[]).points_after;
         let mut node = yard.fleet.nodes.values().nth(like).expect("eight and more").clone();
-        node.standing = Standing::Warm;
+        node.status = NodeStatus::Warm;
         let new = ["a", "n0003b", "z"][place];
         yard.fleet.nodes.insert(new.into(), node);
         let with = plan(&yard, &[]).points_after;
@@ -116,7 +116,7 @@
     // So many nodes that those drawn by chance count.
     let mut yard = fleet(KINDS[1], 96, 400, 1);
     let alone = plan(&yard, &[]);
-    let cold = plover_ranges::Node { standing: Standing::Cold, ..yard.fleet.nodes[&name(3)].clone() };
+    let cold = plover_ranges::Node { status: NodeStatus::Cold, ..yard.fleet.nodes[&name(3)].clone() };
     yard.fleet.nodes.insert("a".into(), cold);
     assert_eq!(plan(&yard, &[]), alone);
 }
--- a/crates/placement/tests/placement/rules.rs
+++ b/crates/placement/tests/placement/rules.rs
@@ -3,7 +3,7 @@
 use crate::support::fleets::{Kind, Yard, fleet, name};
 use plover_model::time::{Micros, SECOND};
 use plover_placement::{Planner, Proposal, Relocation, Rules, Settings, Still, Told, View};
-use plover_ranges::{MapVersion, NodeName, RangeId, RangeMap, Standing};
+use plover_ranges::{MapVersion, NodeName, NodeStatus, RangeId, RangeMap};
 use std::collections::BTreeMap;
 
 const HOUR: Micros = 3600 * SECOND;
@@ -38,7 +38,7 @@
     yard.fleet.nodes.get_mut(&name(5)).expect("there").age = 61 * SECOND;
     assert_eq!(consider(&planner, &yard, now), Err(Still::OldNode(name(5))));
     // What is not heard has only old figures; that holds nothing up.
-    yard.fleet.nodes.get_mut(&name(5)).expect("there").standing = Standing::Unheard;
+    yard.fleet.nodes.get_mut(&name(5)).expect("there").status = NodeStatus::Unreachable;
     assert!(consider(&planner, &yard, now).is_ok());
 }
 
@@ -89,7 +89,7 @@
 #[test]
 fn a_node_that_leaves_is_emptied_whatever_the_gain() {
     let mut yard = fleet(Kind::Uniform, 12, 60, 1);
-    yard.fleet.nodes.get_mut(&name(4)).expect("there").standing = Standing::Leaving;
+    yard.fleet.nodes.get_mut(&name(4)).expect("there").status = NodeStatus::Leaving;
     let settings = Settings { gain: 50.0, ..yard.settings };
     let mut planner = Planner::new(settings, Rules::default()).expect("settings that fit");
     (1..=6).for_each(|minute| planner.observe(&yard.map, &yard.fleet, minute * 60 * SECOND));
@@ -129,9 +129,9 @@
         let Ok(plan) = consider(&planner, &yard, now) else { continue };
         for one in plan.relocations() {
             planner.begun(&one, &yard.fleet, now);
-            let mut replicas = yard.map.named(one.range).expect("there").replicas.clone();
+            let mut replicas = yard.map.by_id(one.range).expect("there").replicas.clone();
             assert!(replicas.remove(&one.from) && replicas.insert(one.to.clone()));
-            yard.map = yard.map.placed(one.range, replicas).expect("as many as before");
+            yard.map = yard.map.with_replicas(one.range, replicas).expect("as many as before");
             moves.entry(one.range).or_default().push((now, one));
         }
     }
@@ -197,7 +197,7 @@
 
 #[test]
 fn a_map_of_one_node_has_nothing_to_plan() {
-    let map = RangeMap::whole([NodeName::from("n")].into()).expect("whole");
+    let map = RangeMap::single_range([NodeName::from("n")].into()).expect("whole");
     let yard = fleet(Kind::Uniform, 8, 20, 1);
     let view = View { map: &map, ..yard.view(&[]) };
     let plan = plover_placement::propose(&view, &yard.settings, &plover_placement::Guard::default());
--- a/crates/placement/tests/placement/support/baselines.rs
+++ b/crates/placement/tests/placement/support/baselines.rs
@@ -1,7 +1,7 @@
 //! Three plain ways to place all ranges anew: what a plan must be better than.
 
 use plover_placement::{Layout, Model, Terms};
-use plover_ranges::Standing;
+use plover_ranges::NodeStatus;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -16,7 +16,7 @@
 pub fn terms(model: &Model, baseline: Baseline, seed: u64) -> Terms {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let warm: Vec<usize> =
-        (0..model.nodes.len()).filter(|&n| model.nodes[n].standing == Standing::Warm).collect();
+        (0..model.nodes.len()).filter(|&n| model.nodes[n].standing == NodeStatus::Warm).collect();
     let mut order: Vec<usize> = (0..model.ranges.len()).collect();
     if matches!(baseline, Baseline::GreedyBySize) {
         order.sort_by(|&a, &b| model.ranges[b].bytes.total_cmp(&model.ranges[a].bytes));
@@ -28,7 +28,7 @@
         let facts = &model.ranges[range];
         // What cannot be touched stays.
         let stuck =
-            |&&node: &&usize| !matches!(model.nodes[node].standing, Standing::Warm | Standing::Leaving);
+            |&&node: &&usize| !matches!(model.nodes[node].standing, NodeStatus::Warm | NodeStatus::Leaving);
         let mut chosen: Vec<usize> = facts.holders.iter().filter(stuck).copied().collect();
         while chosen.len() < facts.holders.len() {
             let zones: Vec<usize> = chosen.iter().map(|&node| model.nodes[node].zone).collect();
--- a/crates/placement/tests/placement/support/bound.rs
+++ b/crates/placement/tests/placement/support/bound.rs
@@ -5,7 +5,7 @@
 
 use good_lp::{Expression, ProblemVariables, Solution, SolverModel, Variable, constraint, microlp, variable};
 use plover_placement::{Layout, Model, Terms};
-use plover_ranges::Standing;
+use plover_ranges::NodeStatus;
 use std::collections::BTreeMap;
 
 /// What is made least.
@@ -31,7 +31,8 @@
             .map(|share| Expression::from(share * (1.0 + 1e-7))),
     };
     let mut classes: BTreeMap<[u64; 7], Vec<usize>> = BTreeMap::new();
-    for (node, facts) in model.nodes.iter().enumerate().filter(|(_, node)| node.standing == Standing::Warm) {
+    for (node, facts) in model.nodes.iter().enumerate().filter(|(_, node)| node.standing == NodeStatus::Warm)
+    {
         let [a, b, c, d] = facts.room.map(f64::to_bits);
         classes
             .entry([facts.zone as u64, a, b, c, d, facts.read.to_bits(), facts.write.to_bits()])
@@ -51,7 +52,7 @@
         let mut all = Expression::from(0.0);
         let mut going = 0.0f64;
         for &home in &facts.holders {
-            if model.nodes[home].standing == Standing::Unheard {
+            if model.nodes[home].standing == NodeStatus::Unreachable {
                 continue;
             }
             let keep: Expression = if model.lets_go(range, home) {
@@ -66,7 +67,7 @@
                 let row = node_rows.entry((home, measure)).or_default();
                 *row += keep.clone() * (facts.load[measure] / model.nodes[home].room[measure]);
             }
-            if model.nodes[home].standing == Standing::Leaving {
+            if model.nodes[home].standing == NodeStatus::Leaving {
                 left += keep.clone() * ((facts.bytes + 1.0) / model.all_bytes);
             }
             *zone_parts.entry((range, model.nodes[home].zone)).or_default() +=
@@ -144,10 +145,10 @@
     let mut sum = 0.0;
     for (node, facts) in model.nodes.iter().enumerate() {
         match facts.standing {
-            Standing::Leaving => {
+            NodeStatus::Leaving => {
                 sum += layout.on(node).iter().map(|&range| model.ranges[range].bytes).sum::<f64>()
             }
-            Standing::Warm => {
+            NodeStatus::Warm => {
                 let mut going: Vec<usize> =
                     layout.on(node).iter().copied().filter(|&range| model.lets_go(range, node)).collect();
                 going.sort_by(|&a, &b| model.ranges[a].bytes.total_cmp(&model.ranges[b].bytes));
@@ -159,7 +160,7 @@
                 // Not looked through: nothing is known.
                 sum += if shed.left > 0 && shed.best.is_finite() { shed.best } else { 0.0 };
             }
-            Standing::Cold | Standing::Unheard => {}
+            NodeStatus::Cold | NodeStatus::Unreachable => {}
         }
     }
     sum / model.all_bytes - terms.leaving
@@ -196,7 +197,7 @@
 fn short_of_memory(model: &Model) -> bool {
     let hot: f64 = model.ranges.iter().map(|range| range.load[0] * range.live as f64).sum();
     let room: f64 =
-        model.nodes.iter().filter(|node| node.standing == Standing::Warm).map(|node| node.room[0]).sum();
+        model.nodes.iter().filter(|node| node.standing == NodeStatus::Warm).map(|node| node.room[0]).sum();
     hot > 0.95 * room
 }
 
@@ -204,7 +205,7 @@
 fn one_node(model: &Model, range: usize, most: &[Expression; 5], rules: &mut Vec<good_lp::Constraint>) {
     let facts = &model.ranges[range];
     for (measure, most) in most.iter().enumerate().take(4) {
-        let heard = |node: &&plover_placement::NodeFacts| node.standing != Standing::Unheard;
+        let heard = |node: &&plover_placement::NodeFacts| node.standing != NodeStatus::Unreachable;
         let mut rooms: Vec<f64> = model.nodes.iter().filter(heard).map(|node| node.room[measure]).collect();
         rooms.sort_by(|a, b| b.total_cmp(a));
         let Some(&room) = facts.live.checked_sub(1).and_then(|last| rooms.get(last)) else { continue };
--- a/crates/placement/tests/placement/support/fleets.rs
+++ b/crates/placement/tests/placement/support/fleets.rs
@@ -2,8 +2,8 @@
 
 use plover_placement::{Asks, Relocation, Settings, Together, View};
 use plover_ranges::{
-    Epoch, Fleet, Held, Key, KeyRange, Link, MapVersion, Node, NodeName, RangeId, RangeLoad, RangeMap,
-    Standing,
+    Epoch, Fleet, Key, KeyRange, Link, MapVersion, Node, NodeName, NodeStatus, RangeAssignment, RangeId,
+    RangeLoad, RangeMap,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -66,7 +66,7 @@
     Node {
         zone: format!("z{zone}"),
         kind: format!("size {size}"),
-        standing: Standing::Warm,
+        status: NodeStatus::Warm,
         memory: (64.0 * GB * size) as u64,
         disk: (1000.0 * GB * size) as u64,
         read_rate: GB as u64,
@@ -127,7 +127,7 @@
     kind: Kind,
     ranges: usize,
     random: &mut Pcg64Mcg,
-) -> Vec<Held> {
+) -> Vec<RangeAssignment> {
     let nodes: Vec<(&NodeName, &Node)> = fleet.nodes.iter().collect();
     let mut used = vec![0.0; nodes.len()];
     let mut held = Vec::new();
@@ -150,10 +150,10 @@
             }
         }
         let key = |i: usize| Key::new((i as u64).to_be_bytes()).expect("short");
-        let from = if range == 0 { Key::least() } else { key(range) };
+        let from = if range == 0 { Key::smallest() } else { key(range) };
         let to = (range + 1 < ranges).then(|| key(range + 1));
         let range_of = KeyRange::new(from, to).expect("in order");
-        held.push(Held { id: RangeId(range as u64), range: range_of, epoch: Epoch(1), replicas });
+        held.push(RangeAssignment { id: RangeId(range as u64), range: range_of, epoch: Epoch(1), replicas });
     }
     held
 }
@@ -213,10 +213,10 @@
     for (i, node) in fleet.nodes.values_mut().enumerate().take(nodes) {
         let lost = has(Kind::RackLost) && i % ZONES == 1 && (i / ZONES).is_multiple_of(3);
         if has(Kind::Drain) && i % 3 == 1 {
-            node.standing = Standing::Leaving;
+            node.status = NodeStatus::Leaving;
         }
         if lost {
-            node.standing = Standing::Unheard;
+            node.status = NodeStatus::Unreachable;
         }
     }
 }
--- a/crates/placement/tests/placement/support/player.rs
+++ b/crates/placement/tests/placement/support/player.rs
@@ -2,7 +2,7 @@
 
 use super::fleets::Yard;
 use plover_placement::{Proposal, Relocation};
-use plover_ranges::{NodeName, RangeId, Standing};
+use plover_ranges::{NodeName, NodeStatus, RangeId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Plays a plan with the most moves under way at once that it allows; the first fault found.
@@ -26,7 +26,7 @@
         .fleet
         .nodes
         .iter()
-        .filter(|(_, node)| node.standing == Standing::Warm)
+        .filter(|(_, node)| node.status == NodeStatus::Warm)
         .map(|(name, node)| hot(yard, on.get(name)) / node.memory as f64);
     let memory_most = fullest.fold(yard.settings.memory_most, f64::max);
     let mut under_way: Vec<Relocation> = Vec::new();
@@ -43,14 +43,14 @@
         let (Some(from), Some(to)) = (yard.fleet.nodes.get(&one.from), yard.fleet.nodes.get(&one.to)) else {
             return fault("a node that nothing is known of");
         };
-        if to.standing != Standing::Warm || !matches!(from.standing, Standing::Warm | Standing::Leaving) {
+        if to.status != NodeStatus::Warm || !matches!(from.status, NodeStatus::Warm | NodeStatus::Leaving) {
             return fault("through a node that does not serve");
         }
         if under_way.iter().chain(moving).any(|way| way.range == one.range) {
             return fault("two moves of one range at once");
         }
         let zones = |replicas: &BTreeSet<NodeName>| {
-            let heard = |name: &&NodeName| yard.fleet.nodes[*name].standing != Standing::Unheard;
+            let heard = |name: &&NodeName| yard.fleet.nodes[*name].status != NodeStatus::Unreachable;
             replicas
                 .iter()
                 .filter(heard)
--- a/crates/ploverport/src/check.rs
+++ b/crates/ploverport/src/check.rs
@@ -5,8 +5,8 @@
 use miette::{GraphicalReportHandler, GraphicalTheme};
 use plover_broker::operator::{platform, read_checked, read_text};
 use plover_operator_file::{Effect, Faults, KEYWORDS, SECTION_KEYWORDS, SECTIONS};
-use plover_routes::{Facts, Table};
-use plover_rules::Platform;
+use plover_routes::{QueryAttributes, RouteTable};
+use plover_rules::PlatformSettings;
 use serde_json::{Value, json};
 use std::io::{IsTerminal, Write};
 use std::path::Path;
@@ -40,7 +40,7 @@
         let rules = if matches!(platform, Ok(Some(_))) { "" } else { unknown };
         say(&format!("{name}: it can be used{rules}\n"));
         for remark in settings.iter().flat_map(|s| plover_rules::remarks(&s.table)) {
-            say(&format!("{name}:{}: {}\n", remark.line, remark.what));
+            say(&format!("{name}:{}: {}\n", remark.line, remark.text));
         }
     }
     if let (Some(query), Some(settings)) = (&arguments.explain, &settings) {
@@ -56,7 +56,7 @@
 }
 
 /// The rules of the platform's configuration, if one is named; the error says why it cannot be read.
-fn platform_rules(file: Option<&Path>) -> Result<Option<Platform>, String> {
+fn platform_rules(file: Option<&Path>) -> Result<Option<PlatformSettings>, String> {
     let file = file.map(|f| f.display().to_string());
     let named = move |key: &str| match key {
         "RELAY_CONFIG" => file.clone().or_else(|| plover_config::environment(key)),
@@ -69,7 +69,7 @@
 }
 
 /// Which line decides which value for a query that is described in words.
-fn explain(table: &Table, query: &str) -> Result<String, String> {
+fn explain(table: &RouteTable, query: &str) -> Result<String, String> {
     let mut words = query.split_whitespace();
     let class = words.next().ok_or("expected a class, as in \"lookup tenant=public-site\"")?;
     let (mut path, mut tenant, mut headers) = (format!("/{class}"), "", HeaderMap::new());
@@ -86,12 +86,12 @@
             }
         }
     }
-    let (route, lines) = table.explain(&Facts { path: &path, class, tenant, headers: &headers });
+    let (route, lines) = table.explain(&QueryAttributes { path: &path, class, tenant, headers: &headers });
     let mut text = format!("{query}: {}\n", route.map_or("no route".to_owned(), |r| format!("route {r}")));
     for l in lines {
         let value = l.value.unwrap_or_else(|| "-".to_owned());
         let from = l
-            .from
+            .source
             .map_or("as the platform has it".to_owned(), |(owner, line)| format!("{owner}, line {line}"));
         text += &format!("{:<18} {value:<12} {from}\n", l.keyword);
     }
--- a/crates/query/src/ask.rs
+++ b/crates/query/src/ask.rs
@@ -4,7 +4,7 @@
 use http::{HeaderMap, Method, Request};
 use plover_model::query::{Ask, Names, PartSpec, Reply};
 use plover_model::time::{MILLI, Micros, millis};
-use plover_routes::{Facts, Routes};
+use plover_routes::{CompiledRoutes, QueryAttributes};
 use serde::Deserialize;
 use std::rc::Rc;
 
@@ -38,7 +38,7 @@
     request: &Request<Vec<u8>>,
     names: &Names,
     settings: &Settings,
-    routes: &Routes,
+    routes: &CompiledRoutes,
 ) -> Result<Ask, Reply> {
     let m = request.headers();
     let first = request.uri().path().trim_start_matches('/').split('/').next().unwrap_or_default();
@@ -78,14 +78,14 @@
         Ok(body) => body,
         Err(e) => return bad(400, format!("the body is malformed: {e}")),
     };
-    let facts = Facts {
+    let facts = QueryAttributes {
         path: request.uri().path(),
         class: &names.classes[class],
         tenant: names.tenants.get(tenant).map_or("", String::as_str),
         headers: m,
     };
     Ok(Ask {
-        limits: routes.of(class, &facts).clone(),
+        limits: routes.limits_for(class, &facts).clone(),
         id,
         class,
         tenant,
--- a/crates/query/src/terms.rs
+++ b/crates/query/src/terms.rs
@@ -10,7 +10,7 @@
 use http::Request;
 use plover_model::query::{Ask, Names, Reply};
 use plover_model::time::{MILLI, Micros};
-use plover_routes::Routes;
+use plover_routes::CompiledRoutes;
 use std::cmp::Reverse;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
     /// What holds for it; `None`: nothing can be asked yet.
     pub settings: Option<Settings>,
     /// What the operator sets.
-    pub routes: Arc<Routes>,
+    pub routes: Arc<CompiledRoutes>,
 }
 
 impl Terms {
--- a/crates/ranges/src/facts.rs
+++ b/crates/ranges/src/fleet.rs
@@ -8,7 +8,7 @@
 
 /// How a node stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum NodeStatus {
     /// It serves at its full pace.
     Warm,
     /// It has started a short while ago.
@@ -16,7 +16,8 @@
     /// It finishes what it holds and leaves.
     Leaving,
     /// Nothing was heard of it for a while.
-    Unheard,
+    #[serde(rename = "Unheard")]
+    Unreachable,
 }
 
 /// One node.
@@ -27,7 +28,8 @@
     /// Its kind, as the operator names machines.
     pub kind: String,
     /// How it stands.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub status: NodeStatus,
     /// Memory for data, in bytes.
     pub memory: u64,
     /// Disk for data, in bytes.
--- a/crates/ranges/src/key.rs
+++ b/crates/ranges/src/key.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 /// Longest key, in bytes.
-pub const LONGEST_KEY: usize = 256;
+pub const MAX_KEY_LENGTH: usize = 256;
 
-/// A key: at most [`LONGEST_KEY`] bytes, ordered bytewise. The empty key is the least.
+/// A key: at most [`MAX_KEY_LENGTH`] bytes, ordered bytewise. The empty key is the least.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "Vec<u8>", into = "Vec<u8>")]
 pub struct Key(Arc<[u8]>);
@@ -16,11 +16,11 @@
     /// The key of these bytes; `None` where there are too many.
     pub fn new(bytes: impl AsRef<[u8]>) -> Option<Key> {
         let bytes = bytes.as_ref();
-        (bytes.len() <= LONGEST_KEY).then(|| Key(bytes.into()))
+        (bytes.len() <= MAX_KEY_LENGTH).then(|| Key(bytes.into()))
     }
 
     /// The least key.
-    pub fn least() -> Key {
+    pub fn smallest() -> Key {
         Key(Arc::from([]))
     }
 
@@ -33,7 +33,7 @@
 impl TryFrom<Vec<u8>> for Key {
     type Error = String;
     fn try_from(bytes: Vec<u8>) -> Result<Key, String> {
-        Key::new(&bytes).ok_or_else(|| format!("a key of {} bytes; {LONGEST_KEY} at most", bytes.len()))
+        Key::new(&bytes).ok_or_else(|| format!("a key of {} bytes; {MAX_KEY_LENGTH} at most", bytes.len()))
     }
 }
 
@@ -59,65 +59,65 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "(Key, Option<Key>)", into = "(Key, Option<Key>)")]
 pub struct KeyRange {
-    from: Key,
-    to: Option<Key>,
+    start: Key,
+    end: Option<Key>,
 }
 
 impl KeyRange {
     /// The keys from `from` on, up to but without `to` (`None`: to the end of the key space). `None` where that is none.
     pub fn new(from: Key, to: Option<Key>) -> Option<KeyRange> {
-        to.as_ref().is_none_or(|to| from < *to).then_some(KeyRange { from, to })
+        to.as_ref().is_none_or(|to| from < *to).then_some(KeyRange { start: from, end: to })
     }
 
     /// All keys.
-    pub fn whole() -> KeyRange {
-        KeyRange { from: Key::least(), to: None }
+    pub fn full() -> KeyRange {
+        KeyRange { start: Key::smallest(), end: None }
     }
 
     /// The first key in it.
-    pub fn from(&self) -> &Key {
-        &self.from
+    pub fn start(&self) -> &Key {
+        &self.start
     }
 
     /// The first key after it; `None`: it reaches to the end of the key space.
-    pub fn to(&self) -> Option<&Key> {
-        self.to.as_ref()
+    pub fn end(&self) -> Option<&Key> {
+        self.end.as_ref()
     }
 
     /// Whether it holds this key.
-    pub fn holds(&self, key: &Key) -> bool {
-        self.from <= *key && self.to.as_ref().is_none_or(|to| key < to)
+    pub fn contains(&self, key: &Key) -> bool {
+        self.start <= *key && self.end.as_ref().is_none_or(|to| key < to)
     }
 
     /// Whether it holds all of that range.
     pub fn covers(&self, other: &KeyRange) -> bool {
-        let end = match (&self.to, &other.to) {
+        let end = match (&self.end, &other.end) {
             (None, _) => true,
             (Some(_), None) => false,
             (Some(own), Some(other)) => other <= own,
         };
-        self.from <= other.from && end
+        self.start <= other.start && end
     }
 
     /// Whether both hold a key.
     pub fn overlaps(&self, other: &KeyRange) -> bool {
         let before = |to: &Option<Key>, from: &Key| to.as_ref().is_some_and(|to| to <= from);
-        !before(&self.to, &other.from) && !before(&other.to, &self.from)
+        !before(&self.end, &other.start) && !before(&other.end, &self.start)
     }
 
     /// Its two parts at this key; `None` where the key cuts nothing off.
     pub fn split(&self, at: &Key) -> Option<(KeyRange, KeyRange)> {
-        let inside = self.holds(at) && *at > self.from;
+        let inside = self.contains(at) && *at > self.start;
         inside.then(|| {
-            let low = KeyRange { from: self.from.clone(), to: Some(at.clone()) };
-            (low, KeyRange { from: at.clone(), to: self.to.clone() })
+            let low = KeyRange { start: self.start.clone(), end: Some(at.clone()) };
+            (low, KeyRange { start: at.clone(), end: self.end.clone() })
         })
     }
 
     /// The range of this one and the one that follows it; `None` where that does not begin where this ends.
-    pub fn joined(&self, next: &KeyRange) -> Option<KeyRange> {
-        let touch = self.to.as_ref() == Some(&next.from);
-        touch.then(|| KeyRange { from: self.from.clone(), to: next.to.clone() })
+    pub fn merge(&self, next: &KeyRange) -> Option<KeyRange> {
+        let touch = self.end.as_ref() == Some(&next.start);
+        touch.then(|| KeyRange { start: self.start.clone(), end: next.end.clone() })
     }
 }
 
@@ -130,15 +130,15 @@
 
 impl From<KeyRange> for (Key, Option<Key>) {
     fn from(range: KeyRange) -> (Key, Option<Key>) {
-        (range.from, range.to)
+        (range.start, range.end)
     }
 }
 
 impl fmt::Display for KeyRange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match &self.to {
-            Some(to) => write!(f, "[{}, {})", self.from, to),
-            None => write!(f, "[{}, end)", self.from),
+        match &self.end {
+            Some(to) => write!(f, "[{}, {})", self.start, to),
+            None => write!(f, "[{}, end)", self.start),
         }
     }
 }
--- a/crates/ranges/src/lib.rs
+++ b/crates/ranges/src/lib.rs
@@ -2,12 +2,14 @@
 //! I/O, reads a clock or decides what should move.
 //!
 //! [`key`] has keys and half-open ranges of them; [`map`] has the map, which by its type covers the whole key space
-//! without gap or overlap; [`facts`] has what was measured of ranges, nodes and links.
+//! without gap or overlap; [`fleet`] has what was measured of ranges, nodes and links.
 
-pub mod facts;
+pub mod fleet;
 pub mod key;
 pub mod map;
 
-pub use facts::{Fleet, Link, Node, RangeLoad, Standing};
-pub use key::{Key, KeyRange, LONGEST_KEY};
-pub use map::{Epoch, Fault, Held, MOST_RANGES, MOST_REPLICAS, MapVersion, NodeName, RangeId, RangeMap};
+pub use fleet::{Fleet, Link, Node, NodeStatus, RangeLoad};
+pub use key::{Key, KeyRange, MAX_KEY_LENGTH};
+pub use map::{
+    Epoch, MAX_RANGES, MAX_REPLICAS, MapError, MapVersion, NodeName, RangeAssignment, RangeId, RangeMap,
+};
--- a/crates/ranges/src/map.rs
+++ b/crates/ranges/src/map.rs
@@ -9,9 +9,9 @@
 use thiserror::Error;
 
 /// Most ranges in a map.
-pub const MOST_RANGES: usize = 1 << 20;
+pub const MAX_RANGES: usize = 1 << 20;
 /// Most replicas of a range.
-pub const MOST_REPLICAS: usize = 64;
+pub const MAX_REPLICAS: usize = 64;
 
 /// Name of a node; the same at every broker, kept over restarts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -49,47 +49,47 @@
 
 /// One range and who holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct RangeAssignment {
     /// Its name.
     pub id: RangeId,
     /// Its keys.
     pub range: KeyRange,
     /// Its epoch.
     pub epoch: Epoch,
-    /// Its holders: at least one, at most [`MOST_REPLICAS`].
+    /// Its holders: at least one, at most [`MAX_REPLICAS`].
     pub replicas: BTreeSet<NodeName>,
 }
 
 /// Why a map, or a change of one, is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum MapError {
     /// No range of this name is there.
     #[error("{0} is not in the map")]
-    NoRange(RangeId),
+    UnknownRange(RangeId),
     /// The key cuts nothing off.
     #[error("{0} cuts nothing off {1}")]
-    CutsNothing(Key, KeyRange),
+    SplitOutside(Key, KeyRange),
     /// The second does not follow the first.
     #[error("{0} and {1} are no neighbours")]
-    NoNeighbours(RangeId, RangeId),
+    NotAdjacent(RangeId, RangeId),
     /// Ranges that are merged have different holders.
     #[error("{0} and {1} have different holders")]
-    OtherHolders(RangeId, RangeId),
+    DifferentReplicas(RangeId, RangeId),
     /// No holder, or too many.
-    #[error("{0} would have {1} replicas; 1 to {MOST_REPLICAS} are allowed")]
-    Replicas(RangeId, usize),
+    #[error("{0} would have {1} replicas; 1 to {MAX_REPLICAS} are allowed")]
+    ReplicaCount(RangeId, usize),
     /// Too many ranges.
-    #[error("over {MOST_RANGES} ranges")]
-    TooMany,
+    #[error("over {MAX_RANGES} ranges")]
+    TooManyRanges,
     /// Keys that no range holds, or two do, before this one.
     #[error("a gap or an overlap before {0}")]
-    NotWhole(KeyRange),
+    GapOrOverlap(KeyRange),
     /// The last range does not reach to the end, or there is none.
     #[error("the end of the key space is not held")]
-    NoEnd,
+    EndNotCovered,
     /// Two ranges of one name, or a name that is yet to be given.
     #[error("{0} is named twice or is yet to be given")]
-    Name(RangeId),
+    InvalidId(RangeId),
 }
 
 /// The map: every key is held by exactly one range.
@@ -100,40 +100,40 @@
     /// The name that the next new range gets.
     next: RangeId,
     /// By their first key.
-    ranges: BTreeMap<Key, Held>,
+    ranges: BTreeMap<Key, RangeAssignment>,
 }
 
 /// What a map is written as.
-type Parts = (MapVersion, RangeId, Vec<Held>);
+type Parts = (MapVersion, RangeId, Vec<RangeAssignment>);
 
 impl RangeMap {
     /// One range of all keys, held by these.
-    pub fn whole(replicas: BTreeSet<NodeName>) -> Result<RangeMap, Fault> {
-        let held = Held { id: RangeId(0), range: KeyRange::whole(), epoch: Epoch(1), replicas };
+    pub fn single_range(replicas: BTreeSet<NodeName>) -> Result<RangeMap, MapError> {
+        let held = RangeAssignment { id: RangeId(0), range: KeyRange::full(), epoch: Epoch(1), replicas };
         RangeMap::new(MapVersion(1), RangeId(1), vec![held])
     }
 
     /// The map of these ranges in the order of their keys; `next` is the name that the next new range gets.
-    pub fn new(version: MapVersion, next: RangeId, held: Vec<Held>) -> Result<RangeMap, Fault> {
-        if held.len() > MOST_RANGES {
-            return Err(Fault::TooMany);
+    pub fn new(version: MapVersion, next: RangeId, held: Vec<RangeAssignment>) -> Result<RangeMap, MapError> {
+        if held.len() > MAX_RANGES {
+            return Err(MapError::TooManyRanges);
         }
         let mut names = BTreeSet::new();
         let mut ranges = BTreeMap::new();
-        let mut expected = Some(Key::least());
+        let mut expected = Some(Key::smallest());
         for held in held {
-            if expected.as_ref() != Some(held.range.from()) {
-                return Err(Fault::NotWhole(held.range));
+            if expected.as_ref() != Some(held.range.start()) {
+                return Err(MapError::GapOrOverlap(held.range));
             }
             if held.id >= next || !names.insert(held.id) {
-                return Err(Fault::Name(held.id));
+                return Err(MapError::InvalidId(held.id));
             }
             replicas_fit(&held)?;
-            expected = held.range.to().cloned();
-            ranges.insert(held.range.from().clone(), held);
+            expected = held.range.end().cloned();
+            ranges.insert(held.range.start().clone(), held);
         }
         if expected.is_some() {
-            return Err(Fault::NoEnd);
+            return Err(MapError::EndNotCovered);
         }
         Ok(RangeMap { version, next, ranges })
     }
@@ -144,79 +144,80 @@
     }
 
     /// The name that the next new range gets.
-    pub fn next(&self) -> RangeId {
+    pub fn next_id(&self) -> RangeId {
         self.next
     }
 
     /// All ranges, in the order of their keys.
-    pub fn ranges(&self) -> impl DoubleEndedIterator<Item = &Held> {
+    pub fn ranges(&self) -> impl DoubleEndedIterator<Item = &RangeAssignment> {
         self.ranges.values()
     }
 
     /// How many ranges there are; never 0.
-    pub fn count(&self) -> usize {
+    pub fn range_count(&self) -> usize {
         self.ranges.len()
     }
 
     /// The range that holds this key. There always is one; `None` cannot come of a map that was made here.
-    pub fn at(&self, key: &Key) -> Option<&Held> {
+    pub fn lookup(&self, key: &Key) -> Option<&RangeAssignment> {
         self.ranges.range(..=key).next_back().map(|(_, held)| held)
     }
 
     /// The range of this name. It looks through all of them.
-    pub fn named(&self, id: RangeId) -> Result<&Held, Fault> {
-        self.ranges.values().find(|held| held.id == id).ok_or(Fault::NoRange(id))
+    pub fn by_id(&self, id: RangeId) -> Result<&RangeAssignment, MapError> {
+        self.ranges.values().find(|held| held.id == id).ok_or(MapError::UnknownRange(id))
     }
 
     /// The ranges that hold a key of this one, in order.
-    pub fn within(&self, range: &KeyRange) -> impl Iterator<Item = &Held> {
-        let first = self.at(range.from()).map_or_else(Key::least, |held| held.range.from().clone());
+    pub fn overlapping(&self, range: &KeyRange) -> impl Iterator<Item = &RangeAssignment> {
+        let first = self.lookup(range.start()).map_or_else(Key::smallest, |held| held.range.start().clone());
         let range = range.clone();
         self.ranges.range(first..).map(|(_, held)| held).take_while(move |held| held.range.overlaps(&range))
     }
 
     /// The map in which a range is held by these instead.
-    pub fn placed(&self, id: RangeId, replicas: BTreeSet<NodeName>) -> Result<RangeMap, Fault> {
-        let mut held = self.named(id)?.clone();
+    pub fn with_replicas(&self, id: RangeId, replicas: BTreeSet<NodeName>) -> Result<RangeMap, MapError> {
+        let mut held = self.by_id(id)?.clone();
         held.replicas = replicas;
         held.epoch.0 += 1;
         replicas_fit(&held)?;
         let mut map = self.changed();
-        map.ranges.insert(held.range.from().clone(), held);
+        map.ranges.insert(held.range.start().clone(), held);
         Ok(map)
     }
 
     /// The map in which a range is two, cut at this key, with the same holders.
-    pub fn split(&self, id: RangeId, at: &Key) -> Result<RangeMap, Fault> {
-        let held = self.named(id)?.clone();
+    pub fn with_split(&self, id: RangeId, at: &Key) -> Result<RangeMap, MapError> {
+        let held = self.by_id(id)?.clone();
         let Some((low, high)) = held.range.split(at) else {
-            return Err(Fault::CutsNothing(at.clone(), held.range));
+            return Err(MapError::SplitOutside(at.clone(), held.range));
         };
-        if self.count() >= MOST_RANGES {
-            return Err(Fault::TooMany);
+        if self.range_count() >= MAX_RANGES {
+            return Err(MapError::TooManyRanges);
         }
         let mut map = self.changed();
         for range in [low, high] {
-            let half = Held { id: map.next, range, epoch: Epoch(held.epoch.0 + 1), ..held.clone() };
+            let half =
+                RangeAssignment { id: map.next, range, epoch: Epoch(held.epoch.0 + 1), ..held.clone() };
             map.next.0 += 1;
-            map.ranges.insert(half.range.from().clone(), half);
+            map.ranges.insert(half.range.start().clone(), half);
         }
         Ok(map)
     }
 
     /// The map in which a range and the one that follows it are one. They need the same holders.
-    pub fn merged(&self, low: RangeId, high: RangeId) -> Result<RangeMap, Fault> {
-        let (first, second) = (self.named(low)?, self.named(high)?);
-        let range = first.range.joined(&second.range).ok_or(Fault::NoNeighbours(low, high))?;
+    pub fn with_merge(&self, low: RangeId, high: RangeId) -> Result<RangeMap, MapError> {
+        let (first, second) = (self.by_id(low)?, self.by_id(high)?);
+        let range = first.range.merge(&second.range).ok_or(MapError::NotAdjacent(low, high))?;
         if first.replicas != second.replicas {
-            return Err(Fault::OtherHolders(low, high));
+            return Err(MapError::DifferentReplicas(low, high));
         }
         let epoch = Epoch(first.epoch.max(second.epoch).0 + 1);
         let mut map = self.changed();
-        let one = Held { id: map.next, range, epoch, replicas: first.replicas.clone() };
+        let one = RangeAssignment { id: map.next, range, epoch, replicas: first.replicas.clone() };
         map.next.0 += 1;
-        map.ranges.remove(second.range.from());
-        map.ranges.insert(one.range.from().clone(), one);
+        map.ranges.remove(second.range.start());
+        map.ranges.insert(one.range.start().clone(), one);
         Ok(map)
     }
 
@@ -225,14 +226,14 @@
     }
 }
 
-fn replicas_fit(held: &Held) -> Result<(), Fault> {
+fn replicas_fit(held: &RangeAssignment) -> Result<(), MapError> {
     let count = held.replicas.len();
-    if (1..=MOST_REPLICAS).contains(&count) { Ok(()) } else { Err(Fault::Replicas(held.id, count)) }
+    if (1..=MAX_REPLICAS).contains(&count) { Ok(()) } else { Err(MapError::ReplicaCount(held.id, count)) }
 }
 
 impl TryFrom<Parts> for RangeMap {
-    type Error = Fault;
-    fn try_from((version, next, held): Parts) -> Result<RangeMap, Fault> {
+    type Error = MapError;
+    fn try_from((version, next, held): Parts) -> Result<RangeMap, MapError> {
         RangeMap::new(version, next, held)
     }
 }
--- a/crates/ranges/tests/map.rs
+++ b/crates/ranges/tests/map.rs
@@ -12,8 +12,8 @@
     names.iter().map(|n| NodeName::from(*n)).collect()
 }
 
-fn whole(map: &RangeMap) -> Result<RangeMap, Fault> {
-    RangeMap::new(map.version(), map.next(), map.ranges().cloned().collect())
+fn whole(map: &RangeMap) -> Result<RangeMap, MapError> {
+    RangeMap::new(map.version(), map.next_id(), map.ranges().cloned().collect())
 }
 
 proptest! {
@@ -22,20 +22,20 @@
         changes in prop::collection::vec((0u8..3, 0u16..64, 0u64..64, 0u64..64), 1..60),
         probes in prop::collection::vec(0u16..80, 8),
     ) {
-        let mut map = RangeMap::whole(nodes(&["a", "b"])).expect("a map");
+        let mut map = RangeMap::single_range(nodes(&["a", "b"])).expect("a map");
         for (kind, at, one, other) in changes {
             let changed = match kind {
-                0 => map.split(RangeId(one), &key(at)),
-                1 => map.merged(RangeId(one), RangeId(other)),
-                _ => map.placed(RangeId(one), nodes(if other % 2 == 0 { &["a", "b"] } else { &["c"] })),
+                0 => map.with_split(RangeId(one), &key(at)),
+                1 => map.with_merge(RangeId(one), RangeId(other)),
+                _ => map.with_replicas(RangeId(one), nodes(if other % 2 == 0 { &["a", "b"] } else { &["c"] })),
             };
             let Ok(new) = changed else { continue };
             prop_assert!(whole(&new).is_ok());
             prop_assert_eq!(new.version().0, map.version().0 + 1);
             for probe in &probes {
-                let (before, after) = (map.at(&key(*probe)), new.at(&key(*probe)));
+                let (before, after) = (map.lookup(&key(*probe)), new.lookup(&key(*probe)));
                 let (Some(before), Some(after)) = (before, after) else { panic!("a key without a range") };
-                prop_assert_eq!(new.ranges().filter(|h| h.range.holds(&key(*probe))).count(), 1);
+                prop_assert_eq!(new.ranges().filter(|h| h.range.contains(&key(*probe))).count(), 1);
                 prop_assert!(before == after || before.epoch < after.epoch);
             }
             map = new;
@@ -46,13 +46,13 @@
     fn a_part_of_the_key_space_is_held_by_just_the_ranges_that_touch_it(
         cuts in prop::collection::btree_set(1u16..60, 0..12), from in 0u16..60, more in 1u16..30,
     ) {
-        let mut map = RangeMap::whole(nodes(&["a"])).expect("a map");
+        let mut map = RangeMap::single_range(nodes(&["a"])).expect("a map");
         for cut in cuts {
-            let id = map.at(&key(cut)).expect("held").id;
-            map = map.split(id, &key(cut)).expect("inside");
+            let id = map.lookup(&key(cut)).expect("held").id;
+            map = map.with_split(id, &key(cut)).expect("inside");
         }
         let part = KeyRange::new(key(from), Some(key(from + more))).expect("not empty");
-        let found: Vec<RangeId> = map.within(&part).map(|h| h.id).collect();
+        let found: Vec<RangeId> = map.overlapping(&part).map(|h| h.id).collect();
         let wanted: Vec<RangeId> = map.ranges().filter(|h| h.range.overlaps(&part)).map(|h| h.id).collect();
         prop_assert_eq!(found, wanted);
     }
@@ -61,39 +61,46 @@
 #[test]
 fn what_is_no_map_is_refused() {
     let range = |from: u16, to: Option<u16>| {
-        KeyRange::new(if from == 0 { Key::least() } else { key(from) }, to.map(key)).unwrap()
+        KeyRange::new(if from == 0 { Key::smallest() } else { key(from) }, to.map(key)).unwrap()
     };
-    let held = |id, range| Held { id: RangeId(id), range, epoch: Epoch(1), replicas: nodes(&["a"]) };
-    let of = |held: Vec<Held>| RangeMap::new(MapVersion(1), RangeId(9), held);
+    let held =
+        |id, range| RangeAssignment { id: RangeId(id), range, epoch: Epoch(1), replicas: nodes(&["a"]) };
+    let of = |held: Vec<RangeAssignment>| RangeMap::new(MapVersion(1), RangeId(9), held);
     assert!(of(vec![held(0, range(0, Some(5))), held(1, range(5, None))]).is_ok());
-    assert_eq!(of(vec![]), Err(Fault::NoEnd));
-    assert_eq!(of(vec![held(0, range(0, Some(5)))]), Err(Fault::NoEnd));
+    assert_eq!(of(vec![]), Err(MapError::EndNotCovered));
+    assert_eq!(of(vec![held(0, range(0, Some(5)))]), Err(MapError::EndNotCovered));
     assert_eq!(
         of(vec![held(0, range(0, Some(5))), held(1, range(6, None))]),
-        Err(Fault::NotWhole(range(6, None)))
+        Err(MapError::GapOrOverlap(range(6, None)))
     );
     assert_eq!(
         of(vec![held(0, range(0, Some(5))), held(1, range(4, None))]),
-        Err(Fault::NotWhole(range(4, None)))
+        Err(MapError::GapOrOverlap(range(4, None)))
     );
     assert_eq!(
         of(vec![held(0, range(0, None)), held(1, range(5, None))]),
-        Err(Fault::NotWhole(range(5, None)))
+        Err(MapError::GapOrOverlap(range(5, None)))
     );
-    assert_eq!(of(vec![held(1, range(0, Some(5))), held(1, range(5, None))]), Err(Fault::Name(RangeId(1))));
-    assert_eq!(of(vec![held(9, range(0, None))]), Err(Fault::Name(RangeId(9))));
-    let none = Held { replicas: BTreeSet::new(), ..held(0, range(0, None)) };
-    assert_eq!(of(vec![none]), Err(Fault::Replicas(RangeId(0), 0)));
+    assert_eq!(
+        of(vec![held(1, range(0, Some(5))), held(1, range(5, None))]),
+        Err(MapError::InvalidId(RangeId(1)))
+    );
+    assert_eq!(of(vec![held(9, range(0, None))]), Err(MapError::InvalidId(RangeId(9))));
+    let none = RangeAssignment { replicas: BTreeSet::new(), ..held(0, range(0, None)) };
+    assert_eq!(of(vec![none]), Err(MapError::ReplicaCount(RangeId(0), 0)));
 }
 
 #[test]
 fn changes_that_mean_nothing_are_refused() {
-    let map = RangeMap::whole(nodes(&["a", "b"])).unwrap().split(RangeId(0), &key(7)).unwrap();
-    assert!(matches!(map.split(RangeId(2), &key(7)), Err(Fault::CutsNothing(..))));
-    assert!(matches!(map.split(RangeId(1), &key(9)), Err(Fault::CutsNothing(..))));
-    assert_eq!(map.split(RangeId(0), &key(3)), Err(Fault::NoRange(RangeId(0))));
-    assert_eq!(map.merged(RangeId(2), RangeId(1)), Err(Fault::NoNeighbours(RangeId(2), RangeId(1))));
-    let moved = map.placed(RangeId(1), nodes(&["c"])).unwrap();
-    assert_eq!(moved.merged(RangeId(1), RangeId(2)), Err(Fault::OtherHolders(RangeId(1), RangeId(2))));
-    assert!(Key::new([0; LONGEST_KEY + 1]).is_none());
+    let map = RangeMap::single_range(nodes(&["a", "b"])).unwrap().with_split(RangeId(0), &key(7)).unwrap();
+    assert!(matches!(map.with_split(RangeId(2), &key(7)), Err(MapError::SplitOutside(..))));
+    assert!(matches!(map.with_split(RangeId(1), &key(9)), Err(MapError::SplitOutside(..))));
+    assert_eq!(map.with_split(RangeId(0), &key(3)), Err(MapError::UnknownRange(RangeId(0))));
+    assert_eq!(map.with_merge(RangeId(2), RangeId(1)), Err(MapError::NotAdjacent(RangeId(2), RangeId(1))));
+    let moved = map.with_replicas(RangeId(1), nodes(&["c"])).unwrap();
+    assert_eq!(
+        moved.with_merge(RangeId(1), RangeId(2)),
+        Err(MapError::DifferentReplicas(RangeId(1), RangeId(2)))
+    );
+    assert!(Key::new([0; MAX_KEY_LENGTH + 1]).is_none());
 }
--- a/crates/repeats/examples/keys_growth.rs
+++ b/crates/repeats/examples/keys_growth.rs
@@ -3,7 +3,7 @@
 
 use plover_model::query::Proof;
 use plover_model::time::SECOND;
-use plover_repeats::{Key, Repeats, Verdict};
+use plover_repeats::{IdempotencyKey, KeyRegister, Verdict};
 use std::time::Instant;
 
 fn resident() -> u64 {
@@ -15,15 +15,15 @@
 fn main() {
     let sizes: Vec<usize> = std::env::args().skip(1).filter_map(|word| word.parse().ok()).collect();
     let [keys, parts] = sizes[..] else { return println!("keys_growth KEYS PARTS") };
-    let mut register = Repeats::new(4 * SECOND, 4 * SECOND, 8192);
+    let mut register = KeyRegister::new(4 * SECOND, 4 * SECOND, 8192);
     let (before, begun) = (resident(), Instant::now());
     for n in 0..keys {
-        let key = Key { text: format!("{n:032x}").into(), owner: "acme\0save".into() };
+        let key = IdempotencyKey { text: format!("{n:032x}").into(), owner: "acme\0save".into() };
         let now = n as u64;
         assert_eq!(register.open(now, &key, 0..parts, 60 * SECOND, 4 * SECOND), Verdict::Serve);
         for shard in 0..parts {
-            register.sent(now, &key, shard, 60 * SECOND);
-            register.ended(now, &key, shard, Proof::Ran);
+            register.attempt_sent(now, &key, shard, 60 * SECOND);
+            register.attempt_ended(now, &key, shard, Proof::Ran);
         }
         register.close(now, &key, true);
     }
--- a/crates/repeats/src/lib.rs
+++ b/crates/repeats/src/lib.rs
@@ -11,7 +11,7 @@
 //! shard where the other's may have run, or may yet, until data servers have forgotten that, since they would drop it, or
 //! answer it with what the other wrote.
 //!
-//! Every part that was sent is told of ([`Repeats::sent`]) and so is its end ([`Repeats::ended`]), also after its
+//! Every part that was sent is told of ([`KeyRegister::attempt_sent`]) and so is its end ([`KeyRegister::attempt_ended`]), also after its
 //! query has ended. The register holds a bounded number of keys; when it is full, keys that were answered go first,
 //! and if there are none, a new key is put off rather than an old one forgotten.
 
@@ -22,16 +22,16 @@
 
 /// A key and whose it is.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Key {
+pub struct IdempotencyKey {
     /// As its client words it, and data servers hear it.
     pub text: Rc<str>,
     /// The tenant and the class, in whatever words; empty: not known, it may be anybody's.
     pub owner: Rc<str>,
 }
 
-impl Key {
+impl IdempotencyKey {
     /// Whether two keys of one text may be one.
-    fn may_be(&self, other: &Key) -> bool {
+    fn may_be(&self, other: &IdempotencyKey) -> bool {
         self.owner == other.owner || self.owner.is_empty() || other.owner.is_empty()
     }
 }
@@ -51,7 +51,7 @@
 
 /// What another process of this broker does with a key, in the order in which it does it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum KeyEvent {
     /// It has a query of it in hand, until then at the latest.
     Opened {
         /// When its client gives up.
@@ -131,30 +131,30 @@
 
 /// The register.
 #[derive(Clone, Debug)]
-pub struct Repeats {
+pub struct KeyRegister {
     window: Micros,
     keep: Micros,
     most: usize,
     /// Whether a part may have two attempts out at once.
     copies: bool,
-    entries: BTreeMap<Key, Entry>,
+    entries: BTreeMap<IdempotencyKey, Entry>,
     /// Entries that are not in hand, by when they may be forgotten.
-    order: BTreeSet<(Micros, Key)>,
+    order: BTreeSet<(Micros, IdempotencyKey)>,
     /// Those of them that were answered.
-    spare: BTreeSet<(Micros, Key)>,
+    spare: BTreeSet<(Micros, IdempotencyKey)>,
 }
 
-impl Repeats {
+impl KeyRegister {
     /// A register where repeats are dropped for `window` after the first attempt, clients come back for `keep` after
     /// that at the latest, and so many keys are held at the most. The window is for what only others have told of; each
     /// query brings that of its class. A part has one attempt out at a time.
     pub fn new(window: Micros, keep: Micros, most: usize) -> Self {
         let (entries, order, spare) = Default::default();
-        Repeats { window, keep, most, copies: false, entries, order, spare }
+        KeyRegister { window, keep, most, copies: false, entries, order, spare }
     }
 
     /// Whether a part may have a second attempt out beside the first, from now on.
-    pub fn allow_copies(&mut self, allow: bool) {
+    pub fn allow_hedging(&mut self, allow: bool) {
         self.copies = allow;
     }
 
@@ -164,7 +164,7 @@
     pub fn open(
         &mut self,
         now: Micros,
-        key: &Key,
+        key: &IdempotencyKey,
         shards: impl Iterator<Item = usize> + Clone,
         give_up_at: Micros,
         window: Micros,
@@ -204,7 +204,7 @@
                 None => return Verdict::Busy(give_up_at),
             }
         }
-        let nobodys = Key { owner: "".into(), ..key.clone() };
+        let nobodys = IdempotencyKey { owner: "".into(), ..key.clone() };
         self.entries.get_mut(&nobodys).into_iter().for_each(|entry| entry.narrow(Some(window)));
         let entry = self.entries.entry(key.clone()).or_default();
         self.order.remove(&(entry.forget_at, key.clone()));
@@ -217,14 +217,14 @@
     }
 
     /// All that is known of keys of this text.
-    fn alike(&self, key: &Key) -> impl Iterator<Item = (&Key, &Entry)> {
-        let (text, from) = (key.text.clone(), Key { owner: "".into(), ..key.clone() });
+    fn alike(&self, key: &IdempotencyKey) -> impl Iterator<Item = (&IdempotencyKey, &Entry)> {
+        let (text, from) = (key.text.clone(), IdempotencyKey { owner: "".into(), ..key.clone() });
         self.entries.range(from..).take_while(move |(other, _)| other.text == text)
     }
 
     /// Whether the part may be sent at this moment: not once the window of an attempt that may have run is over, beside one
     /// that is out only where second copies are allowed, and not where it may be taken for another owner's.
-    pub fn may_send(&self, now: Micros, key: &Key, shard: usize) -> bool {
+    pub fn may_send(&self, now: Micros, key: &IdempotencyKey, shard: usize) -> bool {
         self.alike(key).all(|(other, entry)| {
             if !key.may_be(other) {
                 return entry.holds(shard, self.window).is_none_or(|until| until <= now);
@@ -237,7 +237,7 @@
     }
 
     /// When repeats of a part are no longer dropped; `None`: nothing of it was sent that may have run.
-    pub fn until(&self, key: &Key, shard: usize) -> Option<Micros> {
+    pub fn window_end(&self, key: &IdempotencyKey, shard: usize) -> Option<Micros> {
         let same = self.alike(key).filter(|(other, _)| key.may_be(other));
         let ends =
             |entry: &Entry| Some(entry.parts.get(&shard)?.first? + entry.window.unwrap_or(self.window));
@@ -245,7 +245,7 @@
     }
 
     /// An attempt at a part goes out, and is waited for until `until`.
-    pub fn sent(&mut self, now: Micros, key: &Key, shard: usize, until: Micros) {
+    pub fn attempt_sent(&mut self, now: Micros, key: &IdempotencyKey, shard: usize, until: Micros) {
         let Some(entry) = self.entries.get_mut(key) else { return };
         let part = entry.parts.entry(shard).or_default();
         part.first.get_or_insert(now);
@@ -254,7 +254,7 @@
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, now: Micros, key: &Key, shard: usize, proof: Proof) {
+    pub fn attempt_ended(&mut self, now: Micros, key: &IdempotencyKey, shard: usize, proof: Proof) {
         let Some(entry) = self.entries.get_mut(key) else { return };
         let Some(part) = entry.parts.get_mut(&shard) else { return };
         part.out = part.out.saturating_sub(1);
@@ -275,7 +275,7 @@
     }
 
     /// The query of this key has ended; true: with an answer, which its client takes for an end.
-    pub fn close(&mut self, now: Micros, key: &Key, answered: bool) {
+    pub fn close(&mut self, now: Micros, key: &IdempotencyKey, answered: bool) {
         let Some(entry) = self.entries.get_mut(key) else { return };
         entry.open = None;
         entry.shards = Vec::new();
@@ -284,7 +284,7 @@
     }
 
     /// Says by when an entry that is not in hand here may be forgotten, and forgets one that says nothing.
-    fn file(&mut self, now: Micros, key: &Key) {
+    fn file(&mut self, now: Micros, key: &IdempotencyKey) {
         let Some(entry) = self.entries.get_mut(key).filter(|e| e.open.is_none()) else { return };
         self.order.remove(&(entry.forget_at, key.clone()));
         self.spare.remove(&(entry.forget_at, key.clone()));
@@ -304,7 +304,13 @@
     /// Another process of this broker has done something with a key, whose repeats are dropped for `window` if it tells. Such
     /// entries are kept beyond the most, up to twice as many: the other holds no more of them itself. Beyond that, keys that
     /// were answered make room. False: there was none, and nothing is known of this key.
-    pub fn hear(&mut self, now: Micros, key: &Key, window: Option<Micros>, heard: Heard) -> bool {
+    pub fn apply(
+        &mut self,
+        now: Micros,
+        key: &IdempotencyKey,
+        window: Option<Micros>,
+        heard: KeyEvent,
+    ) -> bool {
         if !self.entries.contains_key(key) && self.entries.len() >= 2 * self.most {
             self.sweep(now);
             if self.entries.len() >= 2 * self.most {
@@ -315,17 +321,17 @@
         let entry = self.entries.entry(key.clone()).or_default();
         entry.narrow(window);
         match heard {
-            Heard::Opened { until } => {
+            KeyEvent::Opened { until } => {
                 entry.elsewhere = Some(until);
                 entry.answered = false;
             }
-            Heard::Sent { shard, at, until } => {
+            KeyEvent::Sent { shard, at, until } => {
                 let part = entry.parts.entry(shard).or_default();
                 part.first = Some(part.first.map_or(at, |first| first.min(at)));
                 part.until = part.until.max(until);
                 part.away += 1;
             }
-            Heard::Ended { shard, at, proof } => {
+            KeyEvent::Ended { shard, at, proof } => {
                 if let Some(part) = entry.parts.get_mut(&shard) {
                     part.away = part.away.saturating_sub(1);
                     match proof {
@@ -343,7 +349,7 @@
                     }
                 }
             }
-            Heard::Closed { answered } => {
+            KeyEvent::Closed { answered } => {
                 entry.elsewhere = None;
                 entry.answered |= answered;
             }
@@ -353,33 +359,33 @@
     }
 
     /// All that is known, as another process of this broker has to hear it.
-    pub fn tell(&self, mut to: impl FnMut(&Key, Option<Micros>, Heard)) {
+    pub fn replay(&self, mut to: impl FnMut(&IdempotencyKey, Option<Micros>, KeyEvent)) {
         for (key, entry) in &self.entries {
             if let Some(until) = entry.open {
-                to(key, entry.window, Heard::Opened { until });
+                to(key, entry.window, KeyEvent::Opened { until });
             }
             for (&shard, part) in &entry.parts {
                 let Some(at) = part.first else { continue };
-                to(key, entry.window, Heard::Sent { shard, at, until: part.until });
+                to(key, entry.window, KeyEvent::Sent { shard, at, until: part.until });
                 // One that is out is told of when it ends; the others have.
                 if part.out == 0 {
-                    to(key, entry.window, Heard::Ended { shard, at: part.until, proof: Proof::MayRun });
+                    to(key, entry.window, KeyEvent::Ended { shard, at: part.until, proof: Proof::MayRun });
                 }
             }
             if entry.open.is_none() {
-                to(key, entry.window, Heard::Closed { answered: entry.answered });
+                to(key, entry.window, KeyEvent::Closed { answered: entry.answered });
             }
         }
     }
 
     /// Other times, for what comes from now on.
-    pub fn retune(&mut self, window: Micros, keep: Micros) {
+    pub fn reconfigure(&mut self, window: Micros, keep: Micros) {
         self.window = window;
         self.keep = keep;
     }
 
     /// Keys that are held.
-    pub fn held(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.entries.len()
     }
 
@@ -390,7 +396,7 @@
     }
 
     /// An attempt that is out for longer than anybody waits should not be there; it must not be forgotten all the same.
-    fn forget_unless_out(&mut self, now: Micros, at: Micros, key: &Key) {
+    fn forget_unless_out(&mut self, now: Micros, at: Micros, key: &IdempotencyKey) {
         let Some(entry) = self.entries.get_mut(key).filter(|e| e.parts.values().any(|p| p.out > 0)) else {
             return self.forget(at, key);
         };
@@ -402,7 +408,7 @@
         }
     }
 
-    fn forget(&mut self, at: Micros, key: &Key) {
+    fn forget(&mut self, at: Micros, key: &IdempotencyKey) {
         self.order.remove(&(at, key.clone()));
         self.spare.remove(&(at, key.clone()));
         self.entries.remove(key);
--- a/crates/reshard/examples/plans_growth.rs
+++ b/crates/reshard/examples/plans_growth.rs
@@ -13,9 +13,9 @@
 
 fn case(moves: usize) -> (RangeMap, Fleet) {
     let name = |n: usize| NodeName(format!("n{n:04}").into());
-    let key = |n: usize| if n == 0 { Key::least() } else { Key::new(format!("k{n:06}")).expect("short") };
+    let key = |n: usize| if n == 0 { Key::smallest() } else { Key::new(format!("k{n:06}")).expect("short") };
     let count = moves;
-    let held = (0..count).map(|n| Held {
+    let held = (0..count).map(|n| RangeAssignment {
         id: RangeId(n as u64),
         range: KeyRange::new(key(n), (n + 1 < count).then(|| key(n + 1))).expect("in order"),
         epoch: Epoch(1),
--- a/crates/reshard/src/plan/compile.rs
+++ b/crates/reshard/src/plan/compile.rs
@@ -8,7 +8,7 @@
 use super::shape::{Piece, Shape, bytes, shape};
 use super::step::{Step, StepId};
 use plover_model::time::{Micros, SECOND};
-use plover_ranges::{Fleet, NodeName, RangeMap, Standing};
+use plover_ranges::{Fleet, NodeName, NodeStatus, RangeMap};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Compiles a plan against a map. `earlier` is the map of the version that the plan names, where one is at hand: it is
@@ -112,7 +112,7 @@
     )
 }
 
-fn held(held: &plover_ranges::Held) -> String {
+fn held(held: &plover_ranges::RangeAssignment) -> String {
     let nodes: Vec<&str> = held.replicas.iter().map(|n| &*n.0).collect();
     format!("{} {} at {}", held.id, held.range, nodes.join(","))
 }
@@ -204,7 +204,7 @@
         let rest = ready.iter().zip(&shape.pieces).take(join.last + 1).skip(join.first + 1);
         for (at_hand, piece) in rest {
             let high = piece.range.clone();
-            let Some(whole) = low.joined(&high) else { break };
+            let Some(whole) = low.merge(&high) else { break };
             let needs = before.into_iter().chain(*at_hand).collect();
             before = Some(push(graph, Step::Merge { low, high }, group, None, needs));
             low = whole;
@@ -278,7 +278,7 @@
 /// The holder that a copy reads: a warm one, of the same zone if there is one.
 fn source(graph: &Graph, holders: &BTreeSet<NodeName>, to: &NodeName) -> NodeName {
     let key = |n: &&NodeName| {
-        let warm = graph.nodes.get(*n).is_some_and(|f| f.standing == Standing::Warm);
+        let warm = graph.nodes.get(*n).is_some_and(|f| f.status == NodeStatus::Warm);
         (!warm, graph.zone(n) != graph.zone(to))
     };
     holders.iter().min_by_key(key).cloned().unwrap_or_else(|| to.clone())
--- a/crates/reshard/src/plan/file.rs
+++ b/crates/reshard/src/plan/file.rs
@@ -355,13 +355,13 @@
             _ => return Err(fault()),
         });
     }
-    Key::new(bytes).ok_or_else(|| format!("a key of {} bytes at most", plover_ranges::LONGEST_KEY))
+    Key::new(bytes).ok_or_else(|| format!("a key of {} bytes at most", plover_ranges::MAX_KEY_LENGTH))
 }
 
 fn piece(word: &str) -> Result<KeyRange, String> {
     let fault = || "a piece, as g,m; -,g from the least key on, m,- to the end".to_owned();
     let (from, to) = word.split_once(',').ok_or_else(fault)?;
-    let from = if from == "-" { Key::least() } else { key(from)? };
+    let from = if from == "-" { Key::smallest() } else { key(from)? };
     let to = if to == "-" { None } else { Some(key(to)?) };
     KeyRange::new(from, to).ok_or_else(|| "a piece that begins before it ends".to_owned())
 }
--- a/crates/reshard/src/plan/next.rs
+++ b/crates/reshard/src/plan/next.rs
@@ -6,7 +6,7 @@
 use super::room::{Asked, Short};
 use super::step::{Back, Step, StepId, exact};
 use plover_model::time::Micros;
-use plover_ranges::{NodeName, Standing};
+use plover_ranges::{NodeName, NodeStatus};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use thiserror::Error;
@@ -21,7 +21,7 @@
     /// 99th percentile of answer times.
     pub p99: Option<Micros>,
     /// How nodes stand, where that differs from the graph.
-    pub standing: BTreeMap<NodeName, Standing>,
+    pub standing: BTreeMap<NodeName, NodeStatus>,
 }
 
 /// Why nothing begins, or not all that could.
@@ -217,8 +217,8 @@
         }
     }
 
-    fn standing(&self, node: &NodeName, seen: &Seen) -> Standing {
-        let known = self.graph.nodes.get(node).map_or(Standing::Unheard, |n| n.standing);
+    fn standing(&self, node: &NodeName, seen: &Seen) -> NodeStatus {
+        let known = self.graph.nodes.get(node).map_or(NodeStatus::Unreachable, |n| n.status);
         seen.standing.get(node).copied().unwrap_or(known)
     }
 
@@ -227,9 +227,9 @@
         let bounds = &self.graph.bounds;
         let cold = if to { bounds.cold_to } else { bounds.cold_from };
         match self.standing(node, seen) {
-            Standing::Cold if cold => Some(Pause::Cold(node.clone())),
-            Standing::Unheard => Some(Pause::Unheard(node.clone())),
-            Standing::Leaving if to => Some(Pause::Unheard(node.clone())),
+            NodeStatus::Cold if cold => Some(Pause::Cold(node.clone())),
+            NodeStatus::Unreachable => Some(Pause::Unheard(node.clone())),
+            NodeStatus::Leaving if to => Some(Pause::Unheard(node.clone())),
             _ => None,
         }
     }
--- a/crates/reshard/src/plan/place.rs
+++ b/crates/reshard/src/plan/place.rs
@@ -2,7 +2,7 @@
 
 use super::goals::{Goal, Plan, Refusal, What};
 use super::shape::{Shape, bytes, named};
-use plover_ranges::{Fleet, KeyRange, Node, NodeName, RangeId, RangeMap, Standing};
+use plover_ranges::{Fleet, KeyRange, Node, NodeName, NodeStatus, RangeId, RangeMap};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Pieces that the same nodes hold.
@@ -189,7 +189,7 @@
             let target = largest.map(|p| p.holders.clone()).unwrap_or_default();
             let replicas = target.len().max(1);
             self.clusters.push(Cluster {
-                first: all().next().map_or_else(KeyRange::whole, |p| p.range.clone()),
+                first: all().next().map_or_else(KeyRange::full, |p| p.range.clone()),
                 cause: None,
                 takes: (all().map(|p| p.bytes).sum(), all().map(|p| p.memory).sum()),
                 asked: (
@@ -550,5 +550,5 @@
 
 /// Whether a node may be given copies, now or when it is warm.
 pub(super) fn takes(node: &Node) -> bool {
-    matches!(node.standing, Standing::Warm | Standing::Cold)
+    matches!(node.status, NodeStatus::Warm | NodeStatus::Cold)
 }
--- a/crates/reshard/src/plan/shape.rs
+++ b/crates/reshard/src/plan/shape.rs
@@ -4,7 +4,7 @@
 //! afterwards, and a plan that runs can be amended.
 
 use super::goals::{Goal, Plan, Refusal, What};
-use plover_ranges::{Fleet, Held, Key, KeyRange, NodeName, RangeId, RangeMap};
+use plover_ranges::{Fleet, Key, KeyRange, NodeName, RangeAssignment, RangeId, RangeMap};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A piece of the key space that is placed as one.
@@ -89,7 +89,7 @@
 fn key_at(range: &KeyRange, part: u64, parts: u64) -> Option<Key> {
     let (skip, from, to) = span(range);
     let at = from + (to - from) * u128::from(part) / u128::from(parts);
-    let mut bytes = range.from().bytes().get(..skip)?.to_vec();
+    let mut bytes = range.start().bytes().get(..skip)?.to_vec();
     bytes.extend(u64::try_from(at).ok()?.to_be_bytes());
     while bytes.len() > skip && bytes.last() == Some(&0) {
         bytes.pop();
@@ -99,8 +99,8 @@
 
 /// Length of what the ends of a range have in common, and both ends as numbers of the eight bytes after it.
 fn span(range: &KeyRange) -> (usize, u128, u128) {
-    let from = range.from().bytes();
-    match range.to() {
+    let from = range.start().bytes();
+    match range.end() {
         None => (0, u128::from(number(from, 0)), 1 << 64),
         Some(to) => {
             let skip = from.iter().zip(to.bytes()).take_while(|(a, b)| a == b).count();
@@ -187,8 +187,13 @@
 }
 
 /// The range of this name, or the refusal that says which there are.
-pub fn named<'m>(map: &'m RangeMap, goal: &Goal, word: usize, id: RangeId) -> Result<&'m Held, Refusal> {
-    map.named(id).map_err(|_| {
+pub fn named<'m>(
+    map: &'m RangeMap,
+    goal: &Goal,
+    word: usize,
+    id: RangeId,
+) -> Result<&'m RangeAssignment, Refusal> {
+    map.by_id(id).map_err(|_| {
         let mut ids: Vec<RangeId> = map.ranges().map(|h| h.id).collect();
         ids.sort_by_key(|known| (known.0.abs_diff(id.0), known.0));
         let near: Vec<String> = ids.iter().take(4).map(|id| id.to_string()).collect();
@@ -210,7 +215,7 @@
 ) {
     let (id, keys) = match &goal.what {
         What::Split(id, keys) => (*id, keys.clone()),
-        What::Pieces(id, pieces) => (*id, pieces.iter().skip(1).map(|p| p.from().clone()).collect()),
+        What::Pieces(id, pieces) => (*id, pieces.iter().skip(1).map(|p| p.start().clone()).collect()),
         _ => return,
     };
     let held = match named(map, goal, 0, id) {
@@ -224,7 +229,7 @@
     }
     for (word, key) in keys.into_iter().enumerate() {
         if held.range.split(&key).is_none() {
-            let (from, to) = (held.range.from(), held.range.to());
+            let (from, to) = (held.range.start(), held.range.end());
             let would_do = match to {
                 Some(to) => format!("a key after {from} and before {to}"),
                 None => format!("a key after {from}"),
@@ -238,19 +243,19 @@
 }
 
 /// Whether these pieces are the range, without gap or overlap.
-fn tiled(goal: &Goal, held: &Held, pieces: &[KeyRange]) -> Result<(), Refusal> {
-    let mut expected = Some(held.range.from().clone());
+fn tiled(goal: &Goal, held: &RangeAssignment, pieces: &[KeyRange]) -> Result<(), Refusal> {
+    let mut expected = Some(held.range.start().clone());
     let end = |key: &Option<Key>| key.as_ref().map_or("-".to_owned(), Key::to_string);
     for (n, piece) in pieces.iter().enumerate() {
         let word = &goal.words[n + 1];
         match &expected {
-            Some(key) if key == piece.from() => {}
-            Some(key) if key < piece.from() => {
-                let what = format!("no piece holds the keys from {key} up to {}", piece.from());
+            Some(key) if key == piece.start() => {}
+            Some(key) if key < piece.start() => {
+                let what = format!("no piece holds the keys from {key} up to {}", piece.start());
                 return Err(Refusal::new(word, "gap", what, format!("a piece that begins at {key}")));
             }
             _ => {
-                let what = format!("two pieces hold {}", piece.from());
+                let what = format!("two pieces hold {}", piece.start());
                 return Err(Refusal::new(
                     word,
                     "overlap",
@@ -259,9 +264,9 @@
                 ));
             }
         }
-        expected = piece.to().cloned();
+        expected = piece.end().cloned();
     }
-    let to = held.range.to().cloned();
+    let to = held.range.end().cloned();
     if expected == to {
         return Ok(());
     }
@@ -280,7 +285,7 @@
 fn smaller(
     n: usize,
     goal: &Goal,
-    held: &Held,
+    held: &RangeAssignment,
     pieces: &mut Vec<Piece>,
     cuts: &mut BTreeMap<RangeId, Vec<Cut>>,
 ) -> Result<(), Refusal> {
@@ -402,8 +407,8 @@
             return Err(Refusal::new(&goal.words[word], "contradiction", what, "only one of the two"));
         }
     }
-    if first.range.joined(&second.range).is_none() {
-        let next = first.range.to().and_then(|key| map.at(key));
+    if first.range.merge(&second.range).is_none() {
+        let next = first.range.end().and_then(|key| map.lookup(key));
         let would_do = next.map_or("two neighbours".to_owned(), |h| format!("{low} {}", h.id));
         let what = format!("{low} and {high} are no neighbours in this order");
         return Err(Refusal::new(&goal.words[1], "neighbours", what, would_do));
--- a/crates/reshard/src/plan/show.rs
+++ b/crates/reshard/src/plan/show.rs
@@ -8,7 +8,7 @@
 use super::shape::bytes;
 use super::step::{Step, StepId};
 use plover_model::time::{MILLI, Micros, SECOND};
-use plover_ranges::Standing;
+use plover_ranges::NodeStatus;
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
@@ -31,7 +31,7 @@
     let mut calm = graph.clone();
     (calm.bounds.hours, calm.bounds.goodput, calm.bounds.p99) = (Vec::new(), None, None);
     calm.groups.iter_mut().for_each(|g| g.deadline = None);
-    calm.nodes.values_mut().for_each(|n| n.standing = Standing::Warm);
+    calm.nodes.values_mut().for_each(|n| n.status = NodeStatus::Warm);
     let mut times = vec![Times::default(); graph.steps.len()];
     let Ok(mut progress) = Progress::with(&calm, 0) else { return times };
     let (mut now, mut running) = (0, BTreeSet::new());
--- a/crates/reshard/src/plan/step.rs
+++ b/crates/reshard/src/plan/step.rs
@@ -1,7 +1,7 @@
 //! The small steps that a plan is made of. They name ranges by their keys: names of new ranges are given in the order
 //! in which the steps run, which differs from run to run.
 
-use plover_ranges::{Held, Key, KeyRange, NodeName, RangeMap};
+use plover_ranges::{Key, KeyRange, NodeName, RangeAssignment, RangeMap};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use thiserror::Error;
@@ -96,12 +96,12 @@
     ServesNot(NodeName, KeyRange),
     /// The map refuses the change.
     #[error(transparent)]
-    Map(#[from] plover_ranges::Fault),
+    Map(#[from] plover_ranges::MapError),
 }
 
 /// The range of just these keys.
-pub fn exact<'m>(map: &'m RangeMap, range: &KeyRange) -> Result<&'m Held, Unmet> {
-    map.at(range.from()).filter(|h| h.range == *range).ok_or_else(|| Unmet::NoRange(range.clone()))
+pub fn exact<'m>(map: &'m RangeMap, range: &KeyRange) -> Result<&'m RangeAssignment, Unmet> {
+    map.lookup(range.start()).filter(|h| h.range == *range).ok_or_else(|| Unmet::NoRange(range.clone()))
 }
 
 impl Step {
@@ -130,7 +130,7 @@
                 }
             }
             Step::Drop { range, node, .. } => {
-                let still = map.within(range).find(|h| h.replicas.contains(node));
+                let still = map.overlapping(range).find(|h| h.replicas.contains(node));
                 still.map_or(Ok(()), |h| Err(Unmet::Serves(node.clone(), h.range.clone())))
             }
             Step::Split { .. } | Step::Merge { .. } => self.applied(map).map(|_| ()),
@@ -149,10 +149,10 @@
                 if let Some(node) = remove {
                     replicas.remove(node);
                 }
-                Ok(map.placed(held.id, replicas)?)
+                Ok(map.with_replicas(held.id, replicas)?)
             }
-            Step::Split { range, at } => Ok(map.split(exact(map, range)?.id, at)?),
-            Step::Merge { low, high } => Ok(map.merged(exact(map, low)?.id, exact(map, high)?.id)?),
+            Step::Split { range, at } => Ok(map.with_split(exact(map, range)?.id, at)?),
+            Step::Merge { low, high } => Ok(map.with_merge(exact(map, low)?.id, exact(map, high)?.id)?),
         }
     }
 
@@ -174,8 +174,8 @@
                 Some((low, high)) => Back::By(Step::Merge { low, high }),
                 None => Back::Nothing,
             },
-            Step::Merge { low, high } => match low.joined(high) {
-                Some(range) => Back::By(Step::Split { range, at: high.from().clone() }),
+            Step::Merge { low, high } => match low.merge(high) {
+                Some(range) => Back::By(Step::Split { range, at: high.start().clone() }),
                 None => Back::Nothing,
             },
         }
--- a/crates/reshard/tests/refusals.rs
+++ b/crates/reshard/tests/refusals.rs
@@ -119,7 +119,7 @@
 #[test]
 fn a_plan_for_another_version_is_refused_with_the_difference() {
     let then = three_ranges();
-    let now = then.placed(RangeId(1), names("c,d")).unwrap();
+    let now = then.with_replicas(RangeId(1), names("c,d")).unwrap();
     let text = format!("{HEAD}empty-node a\n");
     let refusals = compile(&read(&text).unwrap(), &now, &four(100 * GIB), Some(&then)).unwrap_err();
     let found = faults("p", &text, refusals).to_string();
--- a/crates/reshard/tests/running.rs
+++ b/crates/reshard/tests/running.rs
@@ -52,11 +52,11 @@
             .graph
             .nodes
             .iter()
-            .filter(|(_, n)| n.standing == Standing::Cold)
+            .filter(|(_, n)| n.status == NodeStatus::Cold)
             .map(|(n, _)| n.clone())
             .collect();
         if warm {
-            seen.standing = cold.iter().map(|n| (n.clone(), Standing::Warm)).collect();
+            seen.standing = cold.iter().map(|n| (n.clone(), NodeStatus::Warm)).collect();
         }
         let loud = !ends_well && chance.one_in(6);
         if loud {
@@ -150,13 +150,16 @@
 /// Whether the goals of a plan hold in a map, as far as one sees them there.
 fn reached(text: &str, first: &RangeMap, fleet: &Fleet, map: &RangeMap) -> Result<(), String> {
     let plan = read(text).expect("accepted");
-    let of = |id: &RangeId| -> Vec<&Held> { map.within(&first.named(*id).expect("known").range).collect() };
-    let all: Vec<&Held> = map.ranges().collect();
-    let zones =
-        |h: &Held| h.replicas.iter().map(|n| fleet.nodes[n].zone.clone()).collect::<BTreeSet<_>>().len();
+    let of = |id: &RangeId| -> Vec<&RangeAssignment> {
+        map.overlapping(&first.by_id(*id).expect("known").range).collect()
+    };
+    let all: Vec<&RangeAssignment> = map.ranges().collect();
+    let zones = |h: &RangeAssignment| {
+        h.replicas.iter().map(|n| fleet.nodes[n].zone.clone()).collect::<BTreeSet<_>>().len()
+    };
     for goal in &plan.goals {
         let holds = match &goal.what {
-            What::Split(_, keys) => keys.iter().all(|k| map.at(k).is_some_and(|h| h.range.from() == k)),
+            What::Split(_, keys) => keys.iter().all(|k| map.lookup(k).is_some_and(|h| h.range.start() == k)),
             What::Merge(low, high) => of(low) == of(high),
             What::Move(id, from, to) => {
                 of(id).iter().all(|h| h.replicas.contains(to) && !h.replicas.contains(from))
@@ -466,7 +469,7 @@
     let run = play(progress, world, log, 3, true).unwrap();
     assert_eq!(run.stands, Stands::Ended(vec![]));
     assert!(run.progress.map().ranges().all(|h| !h.replicas.contains(&"a".into())));
-    assert!(run.progress.map().named(RangeId(2)).unwrap().replicas.contains(&"d".into()));
+    assert!(run.progress.map().by_id(RangeId(2)).unwrap().replicas.contains(&"d".into()));
     assert_eq!(Progress::replay(&run.log).unwrap(), run.progress);
 }
 
--- a/crates/reshard/tests/support/mod.rs
+++ b/crates/reshard/tests/support/mod.rs
@@ -35,7 +35,7 @@
     Node {
         zone: zone.into(),
         kind: kind.into(),
-        standing: Standing::Warm,
+        status: NodeStatus::Warm,
         memory: disk,
         disk,
         read_rate: 100 << 20,
@@ -49,7 +49,7 @@
 /// A map of ranges that begin at these keys, each held by these nodes.
 pub fn map(version: u64, of: &[(&str, &str)]) -> RangeMap {
     let to = |n: usize| of.get(n + 1).map(|(from, _)| key(from));
-    let held = of.iter().enumerate().map(|(n, (from, nodes))| Held {
+    let held = of.iter().enumerate().map(|(n, (from, nodes))| RangeAssignment {
         id: RangeId(n as u64),
         range: KeyRange::new(key(from), to(n)).expect("in order"),
         epoch: Epoch(1),
@@ -133,7 +133,7 @@
             node.memory = (node.disk / 2).saturating_sub(GIB * chance.below(3));
         }
         if chance.one_in(12) {
-            node.standing = Standing::Cold;
+            node.status = NodeStatus::Cold;
         }
     }
     let mut text = format!("plan p\nagainst 7\nfree-disk {}GiB\n", chance.below(2));
@@ -327,8 +327,9 @@
         let planned = self.graph.steps[id.0 as usize].clone();
         let before = planned.needs.iter().find(|need| !self.ended.contains(need));
         ensure(before.is_none(), || format!("{} before {before:?}", planned.step))?;
-        let held =
-            |range: &KeyRange| self.map.at(range.from()).filter(|h| h.range == *range).ok_or("no such range");
+        let held = |range: &KeyRange| {
+            self.map.lookup(range.start()).filter(|h| h.range == *range).ok_or("no such range")
+        };
         for need in &planned.needs {
             let group = self.graph.steps[need.0 as usize].group;
             let whole = group != planned.group && self.graph.groups[usize::from(group)].whole;
@@ -367,7 +368,7 @@
                 }
             }
             Step::Drop { range, node, .. } => {
-                ensure(!self.map.within(range).any(|h| h.replicas.contains(node)), || {
+                ensure(!self.map.overlapping(range).any(|h| h.replicas.contains(node)), || {
                     format!("{node} serves {range}")
                 })?;
                 ensure(self.held.get(node).is_some_and(|h| h.contains(range)), || "nothing to drop".into())?;
@@ -402,7 +403,7 @@
     }
 
     fn dropped(&mut self, range: &KeyRange, node: &NodeName, takes: (u64, u64)) -> Result<(), String> {
-        ensure(!self.map.within(range).any(|h| h.replicas.contains(node)), || {
+        ensure(!self.map.overlapping(range).any(|h| h.replicas.contains(node)), || {
             format!("{node} serves {range}")
         })?;
         let had = self.held.get_mut(node).is_some_and(|h| h.remove(range));
@@ -421,13 +422,13 @@
                 (vec![range.clone()], vec![low, high])
             }
             Step::Merge { low, high } => {
-                (vec![low.clone(), high.clone()], vec![low.joined(high).ok_or("no neighbours")?])
+                (vec![low.clone(), high.clone()], vec![low.merge(high).ok_or("no neighbours")?])
             }
             _ => return Ok(()),
         };
         for (node, held) in &mut self.held {
             if gone.iter().all(|r| held.contains(r))
-                && self.map.within(&come[0]).any(|h| h.replicas.contains(node))
+                && self.map.overlapping(&come[0]).any(|h| h.replicas.contains(node))
             {
                 gone.iter().for_each(|r| assert!(held.remove(r)));
                 held.extend(come.iter().cloned());
@@ -480,7 +481,8 @@
             ensure(count <= bounds.copies_zone, || format!("{count} copies in {zone}"))?;
         }
         for range in self.map.ranges() {
-            let before = self.graph.map.within(&range.range).map(|h| h.replicas.len()).min().unwrap_or(0);
+            let before =
+                self.graph.map.overlapping(&range.range).map(|h| h.replicas.len()).min().unwrap_or(0);
             let least = before.min(bounds.least_in_service as usize);
             ensure(range.replicas.len() >= least, || {
                 format!("{} has {} replicas", range.range, range.replicas.len())
@@ -496,7 +498,7 @@
     /// Copies that no range of the map accounts for.
     pub fn garbage(&self) -> usize {
         let serves = |node: &NodeName, range: &KeyRange| {
-            self.map.at(range.from()).is_some_and(|h| h.range == *range && h.replicas.contains(node))
+            self.map.lookup(range.start()).is_some_and(|h| h.range == *range && h.replicas.contains(node))
         };
         self.held
             .iter()
--- a/crates/routes/src/compare.rs
+++ b/crates/routes/src/compare.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Relation {
     /// No query matches both.
-    Apart,
+    Disjoint,
     /// Some queries match both: the earlier one gets them.
     Overlaps,
     /// All that match the later one match the earlier one: it never gets any.
@@ -31,7 +31,7 @@
         || differ(class_of(earlier), class_of(later))
         || differ(earlier.tenant.as_deref(), later.tenant.as_deref())
     {
-        return Relation::Apart;
+        return Relation::Disjoint;
     }
     // A field may be there twice: two values of it are no contradiction.
     let path = earlier.path.as_ref().is_none_or(|a| later.path.as_ref().is_some_and(|b| begins(b, a)));
@@ -47,7 +47,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::Facts;
+    use crate::QueryAttributes;
     use http::HeaderMap;
     use proptest::prelude::*;
 
@@ -77,9 +77,9 @@
                     for fields in [&[][..], &[("x", "a")], &[("x", "b")], &[("x", "a"), ("x", "b"), ("y", "a"), ("y", "b")]] {
                         let mut headers = HeaderMap::new();
                         fields.iter().for_each(|(n, v)| { headers.append(*n, v.parse().unwrap()); });
-                        let facts = Facts { path, class, tenant, headers: &headers };
+                        let facts = QueryAttributes { path, class, tenant, headers: &headers };
                         let (first, second) = (earlier.matches(&facts), later.matches(&facts));
-                        prop_assert!(said != Relation::Apart || !(first && second), "{facts:?}");
+                        prop_assert!(said != Relation::Disjoint || !(first && second), "{facts:?}");
                         prop_assert!(said != Relation::Unreachable || first || !second, "{facts:?}");
                     }
                 }
--- a/crates/routes/src/explain.rs
+++ b/crates/routes/src/explain.rs
@@ -1,50 +1,50 @@
 //! Which line decided which value.
 
-use crate::{Facts, Set, Table};
+use crate::{QueryAttributes, RouteTable, Setting};
 use plover_model::query::{Owner, Rate};
 use plover_model::time::{MILLI, Micros, SECOND};
 
 /// One value that holds for a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Explained {
+pub struct EffectiveValue {
     /// The keyword.
     pub keyword: &'static str,
     /// The value as it would be written; `None`: as the platform has it.
     pub value: Option<String>,
     /// The section and line that set it.
-    pub from: Option<(Owner, usize)>,
+    pub source: Option<(Owner, usize)>,
 }
 
 /// A time as it would be written in the file.
-pub fn show_time(time: Micros) -> String {
+pub fn format_time(time: Micros) -> String {
     let units = [("s", SECOND), ("ms", MILLI)];
     let unit = units.iter().find(|(_, u)| time >= *u && time.is_multiple_of(*u));
     unit.map_or(format!("{time}us"), |(name, u)| format!("{}{name}", time / u))
 }
 
-fn show_rate(rate: Rate) -> String {
+fn format_rate(rate: Rate) -> String {
     format!("{}/s {}", rate.per_second, rate.burst)
 }
 
-impl Table {
+impl RouteTable {
     /// All that holds for a query, and why; and the name of its route.
-    pub fn explain(&self, facts: &Facts<'_>) -> (Option<&str>, Vec<Explained>) {
+    pub fn explain(&self, facts: &QueryAttributes<'_>) -> (Option<&str>, Vec<EffectiveValue>) {
         let route = self.routes.iter().find(|r| r.matcher.matches(facts));
         let chain = self.chain(facts.class, route);
         fn line<T: Clone>(
             keyword: &'static str,
-            found: Option<(&Set<T>, Owner)>,
+            found: Option<(&Setting<T>, Owner)>,
             show: impl Fn(T) -> String,
-        ) -> Explained {
+        ) -> EffectiveValue {
             let value = found.as_ref().map(|(set, _)| show(set.value.clone()));
-            Explained { keyword, value, from: found.map(|(set, owner)| (owner, set.at.line)) }
+            EffectiveValue { keyword, value, source: found.map(|(set, owner)| (owner, set.at.line)) }
         }
         let lines = vec![
-            line("time-out", chain.find(|o| &o.time_out), show_time),
-            line("attempt-time-out", chain.find(|o| &o.attempt_time_out), show_time),
+            line("time-out", chain.find(|o| &o.time_out), format_time),
+            line("attempt-time-out", chain.find(|o| &o.attempt_time_out), format_time),
             line("attempts", chain.find(|o| &o.attempts), |n| n.to_string()),
             line("most-in-hand", chain.find(|o| &o.most_in_hand), |n| n.to_string()),
-            line("rate", chain.find(|o| &o.rate), show_rate),
+            line("rate", chain.find(|o| &o.rate), format_rate),
         ];
         (route.map(|r| r.name.as_str()), lines)
     }
@@ -58,12 +58,13 @@
     #[test]
     fn every_value_names_the_line_that_set_it() {
         let table = crate::tests::table();
-        let facts = Facts { path: "/lookup", class: "lookup", tenant: "t", headers: &HeaderMap::new() };
+        let facts =
+            QueryAttributes { path: "/lookup", class: "lookup", tenant: "t", headers: &HeaderMap::new() };
         let (route, lines) = table.explain(&facts);
         assert_eq!(route, Some("slow"));
         let seen: Vec<_> = lines
             .iter()
-            .map(|l| (l.keyword, l.value.as_deref(), l.from.as_ref().map(|(s, n)| (&**s, *n))))
+            .map(|l| (l.keyword, l.value.as_deref(), l.source.as_ref().map(|(s, n)| (&**s, *n))))
             .collect();
         let expected = [
             ("time-out", Some("3us"), Some(("route slow", 5))),
@@ -73,6 +74,6 @@
             ("rate", None, None),
         ];
         assert_eq!(seen, expected);
-        assert_eq!([1, 1500, 2_000_000, 0].map(show_time), ["1us", "1500us", "2s", "0us"]);
+        assert_eq!([1, 1500, 2_000_000, 0].map(format_time), ["1us", "1500us", "2s", "0us"]);
     }
 }
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,7 +1,7 @@
 //! Which limits hold for a query, by what an operator wrote: defaults, then its class, then its route.
 //!
-//! A [`Table`] is the file's sections as they stand, each value with its place, so that whoever finds fault with one or
-//! explains it can name the line. [`Table::compile`] makes of it what is asked for each query: the first route of the
+//! A [`RouteTable`] is the file's sections as they stand, each value with its place, so that whoever finds fault with one or
+//! explains it can name the line. [`RouteTable::compile`] makes of it what is asked for each query: the first route of the
 //! file that matches, and one shared [`QueryLimits`] for each route and class.
 
 mod compare;
@@ -9,8 +9,8 @@
 mod matching;
 
 pub use compare::{Relation, relation};
-pub use explain::{Explained, show_time};
-pub use matching::{Facts, Matcher};
+pub use explain::{EffectiveValue, format_time};
+pub use matching::{Matcher, QueryAttributes};
 
 use plover_model::query::{Owner, QueryLimits, Rate};
 use plover_model::time::Micros;
@@ -18,11 +18,11 @@
 use std::sync::Arc;
 
 /// Most routes of a file: each is tried in turn for each query.
-pub const MOST_ROUTES: usize = 256;
+pub const MAX_ROUTES: usize = 256;
 
 /// Where something stands in the operator's file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct SourceLocation {
     /// In bytes.
     pub span: Range<usize>,
     /// The line, from 1.
@@ -31,26 +31,26 @@
 
 /// A value and where it was set.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Set<T> {
+pub struct Setting<T> {
     /// The value.
     pub value: T,
     /// Its word in the file.
-    pub at: Place,
+    pub at: SourceLocation,
 }
 
-/// What one section sets.
+/// What one section overrides.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Overrides {
     /// `time-out`
-    pub time_out: Option<Set<Micros>>,
+    pub time_out: Option<Setting<Micros>>,
     /// `attempt-time-out`
-    pub attempt_time_out: Option<Set<Micros>>,
+    pub attempt_time_out: Option<Setting<Micros>>,
     /// `attempts`
-    pub attempts: Option<Set<u32>>,
+    pub attempts: Option<Setting<u32>>,
     /// `most-in-hand`
-    pub most_in_hand: Option<Set<u32>>,
+    pub most_in_hand: Option<Setting<u32>>,
     /// `rate`
-    pub rate: Option<Set<Rate>>,
+    pub rate: Option<Setting<Rate>>,
 }
 
 /// A class's section.
@@ -59,9 +59,9 @@
     /// The class.
     pub name: String,
     /// Its name's place.
-    pub at: Place,
-    /// What it sets.
-    pub sets: Overrides,
+    pub at: SourceLocation,
+    /// What it overrides.
+    pub overrides: Overrides,
 }
 
 /// A route's section.
@@ -70,16 +70,16 @@
     /// Its name.
     pub name: String,
     /// Its name's place.
-    pub at: Place,
+    pub at: SourceLocation,
     /// Which queries it is for.
     pub matcher: Matcher,
-    /// What it sets.
-    pub sets: Overrides,
+    /// What it overrides.
+    pub overrides: Overrides,
 }
 
 /// All sections, in the file's order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Table {
+pub struct RouteTable {
     /// What holds for all queries.
     pub defaults: Overrides,
     /// By class.
@@ -90,7 +90,7 @@
 
 /// The sections that may set something for a query, the one that goes first first.
 #[derive(Clone, Copy, Debug)]
-pub struct Chain<'a> {
+pub struct SectionChain<'a> {
     /// The route.
     pub route: Option<&'a RouteSection>,
     /// The class.
@@ -99,11 +99,15 @@
     pub defaults: &'a Overrides,
 }
 
-impl<'a> Chain<'a> {
+impl<'a> SectionChain<'a> {
     /// The value that holds, and the section that set it.
-    pub fn find<T>(self, of: impl Fn(&'a Overrides) -> &'a Option<Set<T>>) -> Option<(&'a Set<T>, Owner)> {
-        let route = self.route.and_then(|r| Some((of(&r.sets).as_ref()?, format!("route {}", r.name))));
-        let class = || self.class.and_then(|c| Some((of(&c.sets).as_ref()?, format!("class {}", c.name))));
+    pub fn find<T>(
+        self,
+        of: impl Fn(&'a Overrides) -> &'a Option<Setting<T>>,
+    ) -> Option<(&'a Setting<T>, Owner)> {
+        let route = self.route.and_then(|r| Some((of(&r.overrides).as_ref()?, format!("route {}", r.name))));
+        let class =
+            || self.class.and_then(|c| Some((of(&c.overrides).as_ref()?, format!("class {}", c.name))));
         let defaults = || Some((of(self.defaults).as_ref()?, "defaults".to_owned()));
         route.or_else(class).or_else(defaults).map(|(set, owner)| (set, owner.into()))
     }
@@ -120,34 +124,34 @@
     }
 }
 
-impl Table {
+impl RouteTable {
     /// The sections for a class, and a route.
-    pub fn chain<'a>(&'a self, class: &str, route: Option<&'a RouteSection>) -> Chain<'a> {
+    pub fn chain<'a>(&'a self, class: &str, route: Option<&'a RouteSection>) -> SectionChain<'a> {
         let class = self.classes.iter().find(|c| c.name == class);
-        Chain { route, class, defaults: &self.defaults }
+        SectionChain { route, class, defaults: &self.defaults }
     }
 
     /// What is asked for each query, where the classes have these names, in the order of their indices.
-    pub fn compile(&self, classes: &[String]) -> Routes {
+    pub fn compile(&self, classes: &[String]) -> CompiledRoutes {
         let of = |route: Option<&RouteSection>| -> Vec<Arc<QueryLimits>> {
             classes.iter().map(|class| Arc::new(self.chain(class, route).limits())).collect()
         };
         let routes = self.routes.iter().map(|r| (r.matcher.clone(), of(Some(r)))).collect();
-        Routes { routes, classes: of(None), none: Arc::default() }
+        CompiledRoutes { routes, classes: of(None), none: Arc::default() }
     }
 }
 
 /// A table, ready to be asked.
 #[derive(Clone, Debug, Default)]
-pub struct Routes {
+pub struct CompiledRoutes {
     routes: Vec<(Matcher, Vec<Arc<QueryLimits>>)>,
     classes: Vec<Arc<QueryLimits>>,
     none: Arc<QueryLimits>,
 }
 
-impl Routes {
+impl CompiledRoutes {
     /// What holds for a query of the class of this index.
-    pub fn of(&self, class: usize, facts: &Facts<'_>) -> &Arc<QueryLimits> {
+    pub fn limits_for(&self, class: usize, facts: &QueryAttributes<'_>) -> &Arc<QueryLimits> {
         let route = self.routes.iter().find(|(matcher, _)| matcher.matches(facts));
         let by_class = route.map_or(&self.classes, |(_, by_class)| by_class);
         by_class.get(class).unwrap_or(&self.none)
@@ -159,24 +163,24 @@
     use super::*;
     use http::HeaderMap;
 
-    fn set<T>(value: T, line: usize) -> Option<Set<T>> {
-        Some(Set { value, at: Place { span: 0..0, line } })
+    fn set<T>(value: T, line: usize) -> Option<Setting<T>> {
+        Some(Setting { value, at: SourceLocation { span: 0..0, line } })
     }
 
-    pub(crate) fn table() -> Table {
+    pub(crate) fn table() -> RouteTable {
         let class = ClassSection {
             name: "lookup".to_owned(),
-            at: Place::default(),
-            sets: Overrides { time_out: set(2, 2), attempts: set(3, 3), ..Overrides::default() },
+            at: SourceLocation::default(),
+            overrides: Overrides { time_out: set(2, 2), attempts: set(3, 3), ..Overrides::default() },
         };
         let route = RouteSection {
             name: "slow".to_owned(),
-            at: Place::default(),
+            at: SourceLocation::default(),
             matcher: Matcher { tenant: Some("t".to_owned()), ..Matcher::default() },
-            sets: Overrides { time_out: set(3, 5), ..Overrides::default() },
+            overrides: Overrides { time_out: set(3, 5), ..Overrides::default() },
         };
         let defaults = Overrides { time_out: set(1, 1), most_in_hand: set(9, 1), ..Overrides::default() };
-        Table { defaults, classes: vec![class], routes: vec![route] }
+        RouteTable { defaults, classes: vec![class], routes: vec![route] }
     }
 
     #[test]
@@ -184,8 +188,13 @@
         let routes = table().compile(&["lookup".to_owned(), "ranking".to_owned()]);
         let headers = HeaderMap::new();
         let of = |class: usize, tenant: &str| {
-            let facts = Facts { path: "/x", class: ["lookup", "ranking"][class], tenant, headers: &headers };
-            let limits = routes.of(class, &facts);
+            let facts = QueryAttributes {
+                path: "/x",
+                class: ["lookup", "ranking"][class],
+                tenant,
+                headers: &headers,
+            };
+            let limits = routes.limits_for(class, &facts);
             let owner = limits.most_in_hand.clone().unwrap().0;
             (limits.time_out, limits.attempts, owner.to_string())
         };
@@ -198,8 +207,9 @@
 
     #[test]
     fn without_sections_nothing_is_set() {
-        let routes = Table::default().compile(&["lookup".to_owned()]);
-        let facts = Facts { path: "/lookup", class: "lookup", tenant: "t", headers: &HeaderMap::new() };
-        assert_eq!(**routes.of(0, &facts), QueryLimits::default());
+        let routes = RouteTable::default().compile(&["lookup".to_owned()]);
+        let facts =
+            QueryAttributes { path: "/lookup", class: "lookup", tenant: "t", headers: &HeaderMap::new() };
+        assert_eq!(**routes.limits_for(0, &facts), QueryLimits::default());
     }
 }
--- a/crates/routes/src/matching.rs
+++ b/crates/routes/src/matching.rs
@@ -4,7 +4,7 @@
 
 /// What a route may look at.
 #[derive(Clone, Copy, Debug)]
-pub struct Facts<'a> {
+pub struct QueryAttributes<'a> {
     /// The target's path.
     pub path: &'a str,
     /// Name of the class.
@@ -37,12 +37,12 @@
 
 impl Matcher {
     /// Whether queries of this class can match.
-    pub fn may_be_of(&self, class: &str) -> bool {
+    pub fn may_match_class(&self, class: &str) -> bool {
         crate::compare::class_of(self).is_none_or(|c| c == class)
     }
 
     /// Whether a query is one of these.
-    pub fn matches(&self, facts: &Facts<'_>) -> bool {
+    pub fn matches(&self, facts: &QueryAttributes<'_>) -> bool {
         let field = |(name, value): &(HeaderName, Option<String>)| {
             let mut values = facts.headers.get_all(name).iter();
             values.any(|v| value.as_ref().is_none_or(|value| v.as_bytes() == value.as_bytes()))
@@ -63,7 +63,7 @@
         let mut headers = HeaderMap::new();
         headers.append("x-kind", "a".parse().unwrap());
         headers.append("x-kind", "b".parse().unwrap());
-        let facts = Facts { path: "/lookup/7", class: "lookup", tenant: "t", headers: &headers };
+        let facts = QueryAttributes { path: "/lookup/7", class: "lookup", tenant: "t", headers: &headers };
         let text = |t: &str| Some(t.to_owned());
         let field = |value: Option<&str>| Matcher {
             headers: vec![(HeaderName::from_static("x-kind"), value.map(str::to_owned))],
