--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -5,12 +5,12 @@
 //! its queries can take, and for figures that only together break one.
 
 use plover_model::time::Micros;
-use plover_routes::{Chain, Place, Relation, Set, Table, relation, show_time};
+use plover_routes::{Relation, RouteTable, SectionChain, Setting, SourceLocation, format_time, relation};
 use std::fmt;
 
 /// What the rules need to know of a class.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ClassFacts {
+pub struct ClassSettings {
     /// Its name.
     pub name: String,
     /// Its clients give up after this time.
@@ -21,32 +21,32 @@
 
 /// What the rules need to know of the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Platform {
+pub struct PlatformSettings {
     /// The classes.
-    pub classes: Vec<ClassFacts>,
+    pub classes: Vec<ClassSettings>,
     /// Names of the tenants; none: any.
     pub tenants: Vec<String>,
     /// Most attempts at a part.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     /// Turns are so far apart at the most: what is decided goes out so much later.
     pub tick: Micros,
     /// A connection must be up within this time: an attempt waits so long before its first byte.
-    pub dial: Micros,
+    pub dial_timeout: Micros,
 }
 
 /// A rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// A part gets so many attempts at the most.
-    MostAttempts,
+    MaxAttempts,
     /// A part that may have run is not repeated beyond the time in which servers drop repeats.
     RepeatWindow,
     /// No time-out goes beyond the client's own.
-    ClientsLimit,
+    ClientTimeout,
     /// An attempt ends within its query.
     AttemptWithinQuery,
     /// A time-out leaves time for a turn.
-    LeastTime,
+    MinTimeOut,
     /// Names are those of the platform.
     KnownNames,
     /// A route can be reached.
@@ -57,13 +57,13 @@
     /// Where it comes from.
     pub fn source(self) -> &'static str {
         match self {
-            Rule::MostAttempts => "the platform's settings, Allowed.SendCap",
+            Rule::MaxAttempts => "the platform's settings, Allowed.SendCap",
             Rule::RepeatWindow => {
                 "the class's time for dropping repeats in the platform's settings, Services"
             }
-            Rule::ClientsLimit => "the class's GiveUp in the platform's settings, Services",
+            Rule::ClientTimeout => "the class's GiveUp in the platform's settings, Services",
             Rule::AttemptWithinQuery => "a query has one final answer in its time",
-            Rule::LeastTime => "turns are a tick apart (the platform's settings, Tick)",
+            Rule::MinTimeOut => "turns are a tick apart (the platform's settings, Tick)",
             Rule::KnownNames => "the platform's settings, Services and Projects",
             Rule::Reachable => "the first route of the file that matches is taken",
         }
@@ -73,11 +73,11 @@
 impl fmt::Display for Rule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Rule::MostAttempts => "most attempts at a part",
+            Rule::MaxAttempts => "most attempts at a part",
             Rule::RepeatWindow => "no repeat beyond the repeat limit",
-            Rule::ClientsLimit => "no time-out beyond the client's",
+            Rule::ClientTimeout => "no time-out beyond the client's",
             Rule::AttemptWithinQuery => "an attempt ends within its query",
-            Rule::LeastTime => "a time-out leaves time for a turn",
+            Rule::MinTimeOut => "a time-out leaves time for a turn",
             Rule::KnownNames => "names are the platform's",
             Rule::Reachable => "every route can be reached",
         })
@@ -86,15 +86,15 @@
 
 /// A rule that is broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Breach {
+pub struct Violation {
     /// The word at fault.
-    pub at: Place,
+    pub at: SourceLocation,
     /// The rule.
     pub rule: Rule,
     /// What is wrong.
-    pub what: String,
+    pub problem: String,
     /// What would hold.
-    pub holds: String,
+    pub remedy: String,
 }
 
 /// What is not wrong, but perhaps not meant.
@@ -103,23 +103,23 @@
     /// The line it is about.
     pub line: usize,
     /// What it is.
-    pub what: String,
+    pub text: String,
 }
 
 struct Checking<'a> {
-    table: &'a Table,
-    platform: &'a Platform,
-    found: Vec<Breach>,
+    table: &'a RouteTable,
+    platform: &'a PlatformSettings,
+    found: Vec<Violation>,
 }
 
 /// All breaches of a table, in the order of the file; none for a word and rule twice.
-pub fn check(table: &Table, platform: &Platform) -> Vec<Breach> {
+pub fn check(table: &RouteTable, platform: &PlatformSettings) -> Vec<Violation> {
     let mut checking = Checking { table, platform, found: Vec::new() };
     checking.names();
     checking.reach();
     for class in &platform.classes {
         checking.chain(class, table.chain(&class.name, None));
-        for route in table.routes.iter().filter(|r| r.matcher.may_be_of(&class.name)) {
+        for route in table.routes.iter().filter(|r| r.matcher.may_match_class(&class.name)) {
             checking.chain(class, table.chain(&class.name, Some(route)));
         }
     }
@@ -130,14 +130,14 @@
 }
 
 /// Routes of which an earlier one takes some queries.
-pub fn remarks(table: &Table) -> Vec<Remark> {
+pub fn remarks(table: &RouteTable) -> Vec<Remark> {
     let mut remarks = Vec::new();
     for (n, later) in table.routes.iter().enumerate() {
         for earlier in &table.routes[..n] {
             if relation(&earlier.matcher, &later.matcher) == Relation::Overlaps {
                 let (a, b, line) = (&earlier.name, &later.name, earlier.at.line);
                 let what = format!("queries that match route {b} and route {a} (line {line}) take route {a}");
-                remarks.push(Remark { line: later.at.line, what });
+                remarks.push(Remark { line: later.at.line, text: what });
             }
         }
     }
@@ -145,8 +145,8 @@
 }
 
 impl Checking<'_> {
-    fn breach(&mut self, at: &Place, rule: Rule, what: String, holds: String) {
-        self.found.push(Breach { at: at.clone(), rule, what, holds });
+    fn breach(&mut self, at: &SourceLocation, rule: Rule, what: String, holds: String) {
+        self.found.push(Violation { at: at.clone(), rule, problem: what, remedy: holds });
     }
 
     fn names(&mut self) {
@@ -191,39 +191,39 @@
     }
 
     /// Holds one class's figures, as they are in the end, against the rules.
-    fn chain(&mut self, class: &ClassFacts, chain: Chain<'_>) {
-        let (name, tick, dial) = (&class.name, self.platform.tick, self.platform.dial);
+    fn chain(&mut self, class: &ClassSettings, chain: SectionChain<'_>) {
+        let (name, tick, dial) = (&class.name, self.platform.tick, self.platform.dial_timeout);
         let time_out = chain.find(|o| &o.time_out).map(|(set, _)| set);
         let attempt = chain.find(|o| &o.attempt_time_out).map(|(set, _)| set);
         let attempts = chain.find(|o| &o.attempts).map(|(set, _)| set);
         if let Some(set) = attempts {
-            let most = self.platform.most_attempts;
+            let most = self.platform.max_attempts;
             if set.value > most || set.value == 0 {
                 let what = format!("{} attempts at a part of {name}", set.value);
-                self.breach(&set.at, Rule::MostAttempts, what, format!("1 to {most} hold"));
+                self.breach(&set.at, Rule::MaxAttempts, what, format!("1 to {most} hold"));
             }
         }
         if let Some(set) = time_out.filter(|set| set.value > class.give_up) {
-            let what = format!("{name} may take {}, but its clients give up before", show_time(set.value));
-            let holds = format!("{} at most holds", show_time(class.give_up));
-            self.breach(&set.at, Rule::ClientsLimit, what, holds);
+            let what = format!("{name} may take {}, but its clients give up before", format_time(set.value));
+            let holds = format!("{} at most holds", format_time(class.give_up));
+            self.breach(&set.at, Rule::ClientTimeout, what, holds);
         }
         for set in [time_out, attempt].into_iter().flatten().filter(|set| set.value < 2 * tick) {
-            let what = format!("{} is over before anything can be sent and answered", show_time(set.value));
-            self.breach(&set.at, Rule::LeastTime, what, format!("{} at least holds", show_time(2 * tick)));
+            let what = format!("{} is over before anything can be sent and answered", format_time(set.value));
+            self.breach(&set.at, Rule::MinTimeOut, what, format!("{} at least holds", format_time(2 * tick)));
         }
         let ends = time_out.map_or(class.give_up, |set| set.value.min(class.give_up));
         if let Some(set) = attempt.filter(|set| set.value > ends) {
             let what = format!(
                 "an attempt of {name} may take {}, its query {}",
-                show_time(set.value),
-                show_time(ends)
+                format_time(set.value),
+                format_time(ends)
             );
             self.breach(
                 &set.at,
                 Rule::AttemptWithinQuery,
                 what,
-                format!("{} at most holds", show_time(ends)),
+                format!("{} at most holds", format_time(ends)),
             );
         }
         let culprit = [attempt.map(|s| &s.at), attempts.map(|s| &s.at), time_out.map(|s| &s.at)];
@@ -238,15 +238,15 @@
     /// connection, and the query ends them all. `late` is what passes between a decision and its first byte.
     fn repeats(
         &mut self,
-        class: &ClassFacts,
+        class: &ClassSettings,
         window: Micros,
-        at: Place,
-        [time_out, attempt]: [Option<&Set<Micros>>; 2],
-        attempts: Option<&Set<u32>>,
+        at: SourceLocation,
+        [time_out, attempt]: [Option<&Setting<Micros>>; 2],
+        attempts: Option<&Setting<u32>>,
         late: Micros,
     ) {
         let most =
-            attempts.map_or(self.platform.most_attempts, |set| set.value.min(self.platform.most_attempts));
+            attempts.map_or(self.platform.max_attempts, |set| set.value.min(self.platform.max_attempts));
         let ends = time_out.map_or(class.give_up, |set| set.value.min(class.give_up));
         let each = attempt.map_or(ends, |set| set.value.min(ends));
         let repeats = u64::from(most.saturating_sub(1));
@@ -264,13 +264,13 @@
         let what = format!(
             "the last of {most} attempts at a part of {} may begin {} after the first, which servers drop for {} only",
             class.name,
-            show_time(last),
-            show_time(window)
+            format_time(last),
+            format_time(window)
         );
         let holds = format!(
             "time-out {} at most holds, or attempt-time-out {} with {most} attempts, or attempts 1",
-            show_time(fits),
-            show_time(short)
+            format_time(fits),
+            format_time(short)
         );
         self.breach(&at, Rule::RepeatWindow, what, holds);
     }
--- a/crates/rules/tests/bad_files.rs
+++ b/crates/rules/tests/bad_files.rs
@@ -3,41 +3,41 @@
 
 use plover_model::time::{MILLI, SECOND};
 use plover_operator_file::read;
-use plover_routes::show_time;
-use plover_rules::{ClassFacts, Platform, Rule, check, remarks};
+use plover_routes::format_time;
+use plover_rules::{ClassSettings, PlatformSettings, Rule, check, remarks};
 use proptest::prelude::*;
 
 /// Turns 5 ms apart, connections up in 250 ms, and three classes as deployments have them.
-fn platform() -> Platform {
-    let class = |name: &str, give_up, window| ClassFacts { name: name.to_owned(), give_up, window };
-    Platform {
+fn platform() -> PlatformSettings {
+    let class = |name: &str, give_up, window| ClassSettings { name: name.to_owned(), give_up, window };
+    PlatformSettings {
         classes: vec![
             class("lookup", 4 * SECOND, None),
             class("watchlist-save", 5 * SECOND, Some(5 * SECOND)),
             class("ranking", 4 * SECOND, None),
         ],
         tenants: vec!["public-site".to_owned()],
-        most_attempts: 4,
+        max_attempts: 4,
         tick: 5 * MILLI,
-        dial: 250 * MILLI,
+        dial_timeout: 250 * MILLI,
     }
 }
 
 /// Rule, line, and what would hold, of all that is wrong.
 fn found(text: &str) -> Vec<(Rule, usize, String)> {
     let settings = read("f", text).unwrap();
-    check(&settings.table, &platform()).into_iter().map(|b| (b.rule, b.at.line, b.holds)).collect()
+    check(&settings.table, &platform()).into_iter().map(|b| (b.rule, b.at.line, b.remedy)).collect()
 }
 
 #[test]
 fn every_rule_is_found_broken_where_it_is() {
     for (text, rule, line, holds) in [
-        ("defaults\nattempts 5\n", Rule::MostAttempts, 2, "1 to 4"),
-        ("class lookup\n\nattempts 100", Rule::MostAttempts, 3, "1 to 4"),
-        ("class lookup\ntime-out 4001ms", Rule::ClientsLimit, 2, "4s at most"),
+        ("defaults\nattempts 5\n", Rule::MaxAttempts, 2, "1 to 4"),
+        ("class lookup\n\nattempts 100", Rule::MaxAttempts, 3, "1 to 4"),
+        ("class lookup\ntime-out 4001ms", Rule::ClientTimeout, 2, "4s at most"),
         ("class lookup\ntime-out 2s\nattempt-time-out 3s", Rule::AttemptWithinQuery, 3, "2s at most"),
         ("class ranking\nattempt-time-out 5s", Rule::AttemptWithinQuery, 2, "4s at most"),
-        ("class lookup\ntime-out 9ms", Rule::LeastTime, 2, "10ms at least"),
+        ("class lookup\ntime-out 9ms", Rule::MinTimeOut, 2, "10ms at least"),
         ("class lookups\ntime-out 1s", Rule::KnownNames, 1, "lookup, watchlist-save, ranking"),
         ("route a\nmatch-class look\n", Rule::KnownNames, 1, "lookup, watchlist-save, ranking"),
         ("route a\nmatch-tenant nobody\n", Rule::KnownNames, 1, "public-site"),
@@ -117,7 +117,7 @@
         }
         prop_assert!(refused || last <= 5000, "{last} ms: {}", text(time_out));
         if refused {
-            let fits = show_time(4745 * MILLI);
+            let fits = format_time(4745 * MILLI);
             prop_assert!(all.iter().any(|(.., holds)| holds.contains(&fits)));
             let again = found(&text(Some(time_out.unwrap_or(5000).min(4745))));
             prop_assert!(again.iter().all(|(rule, ..)| *rule != Rule::RepeatWindow), "{again:?}");
