--- a/crates/broker/src/coming.rs
+++ b/crates/broker/src/coming.rs
@@ -1,6 +1,6 @@
 //! How the broker comes back, as a part of its turns: see `plover_recovery`, which decides it.
 
-use crate::parts::{Entry, Part, Told, View, Want};
+use crate::extensions::{Action, Admission, Extension, TurnEvent, View};
 use plover_model::query::Ask;
 use plover_model::time::{MILLI, Micros};
 use plover_operator_file::ComeBack;
@@ -26,25 +26,28 @@
     }
 }
 
-impl Part for WayBack {
-    fn told(&mut self, now: Micros, what: Told<'_>, wants: &mut Vec<Want>) {
+impl Extension for WayBack {
+    fn on_event(&mut self, now: Micros, what: TurnEvent<'_>, actions: &mut Vec<Action>) {
         let Some(coming) = &mut self.0 else { return };
         match what {
-            Told::List => coming.list_came(),
-            Told::Ended { in_time } => coming.ended(now, in_time),
-            Told::Heard(view) => {
+            TurnEvent::WholeList => coming.list_came(),
+            TurnEvent::QueryEnded { answered } => coming.ended(now, answered),
+            TurnEvent::InputTaken(view) => {
                 let remembered = view.has_list();
                 while let Some(change) = coming.turn(now, remembered) {
                     log(&change, coming.phase());
-                    wants.push(Want::Open);
+                    actions.push(Action::RecheckReadiness);
                 }
             }
             // It is not coming back, and begins with what that process knew.
-            Told::TakenOver => {
+            TurnEvent::StateReceived => {
                 self.0 = None;
-                wants.push(Want::Open);
+                actions.push(Action::RecheckReadiness);
             }
-            Told::Start | Told::Begin(_) | Told::Decided(_) | Told::Retuned { .. } => {}
+            TurnEvent::Start
+            | TurnEvent::TurnStart(_)
+            | TurnEvent::Decided(_)
+            | TurnEvent::Reconfigured { .. } => {}
         }
     }
 
@@ -52,16 +55,16 @@
         self.0.as_ref().and_then(|coming| coming.due(view.has_list()))
     }
 
-    fn entry(&mut self, _now: Micros, _ask: &Ask) -> Entry {
-        if self.0.as_mut().is_none_or(Coming::admits) { Entry::In } else { Entry::Refused }
+    fn admit(&mut self, _now: Micros, _ask: &Ask) -> Admission {
+        if self.0.as_mut().is_none_or(Coming::admits) { Admission::Admitted } else { Admission::Refused }
     }
 
-    fn shut(&self) -> Option<String> {
+    fn not_ready_reason(&self) -> Option<String> {
         let coming = self.0.as_ref().filter(|coming| !coming.is_open())?;
         Some(format!("coming back: {}", coming.phase().name()))
     }
 
-    fn count(&self, census: &mut Census) {
+    fn report_gauges(&self, census: &mut Census) {
         census.phase = self.0.as_ref().map(|coming| coming.phase().place());
     }
 }
@@ -89,11 +92,11 @@
 
     const TIMES: Times = Times { ask_for: 10, spread: 0, part_for: 100 };
 
-    fn told(way: &mut WayBack, now: Micros, what: Told<'_>) -> usize {
-        let mut wants = Vec::new();
-        way.told(now, what, &mut wants);
-        assert!(wants.iter().all(|want| matches!(want, Want::Open)));
-        wants.len()
+    fn told(way: &mut WayBack, now: Micros, what: TurnEvent<'_>) -> usize {
+        let mut actions = Vec::new();
+        way.on_event(now, what, &mut actions);
+        assert!(actions.iter().all(|want| matches!(want, Action::RecheckReadiness)));
+        actions.len()
     }
 
     #[test]
@@ -102,13 +105,13 @@
             (Core::new(settings(), 10, 1), Queries::new(&settings(), &Default::default(), 10, 1, 0));
         let view = View { core: &core, queries: &queries, rev: 0 };
         let mut way = WayBack(Some(Coming::new(0, TIMES, 0.0)));
-        assert_eq!((told(&mut way, 1, Told::Heard(view)), way.due(1, view)), (1, None));
-        assert_eq!(way.shut(), Some("coming back: asking".to_owned()));
-        told(&mut way, 2, Told::List);
-        assert_eq!((told(&mut way, 2, Told::Heard(view)), way.shut()), (2, None));
+        assert_eq!((told(&mut way, 1, TurnEvent::InputTaken(view)), way.due(1, view)), (1, None));
+        assert_eq!(way.not_ready_reason(), Some("coming back: asking".to_owned()));
+        told(&mut way, 2, TurnEvent::WholeList);
+        assert_eq!((told(&mut way, 2, TurnEvent::InputTaken(view)), way.not_ready_reason()), (2, None));
         assert_eq!(way.due(2, view), Some(102));
         // A query that ended badly begins the wait anew.
-        told(&mut way, 50, Told::Ended { in_time: false });
+        told(&mut way, 50, TurnEvent::QueryEnded { answered: false });
         assert_eq!(way.due(50, view), Some(150));
     }
 
@@ -125,17 +128,18 @@
         let mut core = Core::new(settings(), 10, 1);
         let queries = Queries::new(&settings(), &Default::default(), 10, 1, 0);
         let mut way = WayBack(Some(Coming::new(0, TIMES, 0.0)));
-        told(&mut way, 1, Told::Heard(View { core: &core, queries: &queries, rev: 0 }));
+        told(&mut way, 1, TurnEvent::InputTaken(View { core: &core, queries: &queries, rev: 0 }));
         assert_eq!(way.due(1, View { core: &core, queries: &queries, rev: 0 }), None);
         core.learn(ListScope::Whole, (0..1000).map(server).collect());
         core.tick(2);
         let view = View { core: &core, queries: &queries, rev: 0 };
         let asking = measure(|| assert_eq!(way.due(2, view), Some(11)));
-        told(&mut way, 20, Told::Heard(view));
-        told(&mut way, 200, Told::Heard(view));
+        told(&mut way, 20, TurnEvent::InputTaken(view));
+        told(&mut way, 200, TurnEvent::InputTaken(view));
         assert_eq!(way.0.as_ref().map(|coming| coming.phase().name()), Some("full"));
-        let full =
-            measure(|| assert_eq!((told(&mut way, 300, Told::Heard(view)), way.due(300, view)), (0, None)));
+        let full = measure(|| {
+            assert_eq!((told(&mut way, 300, TurnEvent::InputTaken(view)), way.due(300, view)), (0, None))
+        });
         assert_eq!((asking.count_total, full.count_total), (0, 0));
     }
 
@@ -145,9 +149,12 @@
             (Core::new(settings(), 10, 1), Queries::new(&settings(), &Default::default(), 10, 1, 0));
         let view = View { core: &core, queries: &queries, rev: 0 };
         let mut way = WayBack(Some(Coming::new(0, TIMES, 0.0)));
-        assert_eq!((told(&mut way, 1, Told::TakenOver), way.shut(), way.due(1, view)), (1, None, None));
+        assert_eq!(
+            (told(&mut way, 1, TurnEvent::StateReceived), way.not_ready_reason(), way.due(1, view)),
+            (1, None, None)
+        );
         let mut census = Census::default();
-        way.count(&mut census);
+        way.report_gauges(&mut census);
         assert_eq!(census.phase, None);
     }
 }
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/event_loop.rs
@@ -1,15 +1,15 @@
 //! The turn loop: takes what the sockets brought, asks the decisions, and carries them out.
 //!
-//! Of what an operator may leave out it knows the seam alone, [`crate::parts`].
+//! Of what an operator may leave out it knows the seam alone, [`crate::extensions`].
 
 use crate::doors::Doors;
-use crate::inbox::{Client, Inbox, Input, look_at};
-use crate::list::List;
-use crate::parts::{Entry, Parts, Told, View, Want};
-use crate::queries::{Beside, Held, Queries, quarantine};
+use crate::extensions::{Action, Admission, Extensions, TurnEvent, View};
+use crate::inbox::{Client, Inbox, Input, refresh_presence};
+use crate::queries::{OtherProcesses, Queries, Withheld, quarantine};
 use crate::reload::{Files, Fresh};
 use crate::room::{Given, Room};
-use crate::upstream::{Ended, Send, Upstream};
+use crate::server_list::ServerList;
+use crate::upstream::{DispatchedAttempt, EndedAttempt, Upstream};
 use async_io::Timer;
 use brookbend::refusals::Refusals;
 use futures_lite::FutureExt;
@@ -42,21 +42,21 @@
     pub(crate) inbox: Rc<Inbox>,
     pub(crate) doors: Doors,
     pub(crate) queries: Queries,
-    pub(crate) list: List,
+    pub(crate) server_list: ServerList,
     /// How descriptors are divided.
     pub(crate) room: Room,
     /// The turn's dispatches: they go out together at its end.
     pub(crate) dispatches: BTreeMap<AttemptId, Dispatch>,
-    pub(crate) ended: Vec<Ended>,
+    pub(crate) ended: Vec<EndedAttempt>,
     /// Queries that an optional part makes wait for the next turn.
-    pub(crate) put_off: Vec<Asked>,
+    pub(crate) deferred: Vec<Asked>,
     /// Refusals on arrival that the log has told of.
     pub(crate) refusals_logged: u64,
     /// How long this thread has been busy, and what that comes to for a part.
     pub(crate) busy: Rc<BusyTime>,
     pub(crate) accounted: Accounted,
     /// What the operator may leave out, so far as it is on.
-    pub(crate) parts: Parts,
+    pub(crate) extensions: Extensions,
 }
 
 /// What the thread's time until a turn's end was spent on.
@@ -74,30 +74,30 @@
 impl Broker {
     /// Begins with the list as it is remembered; what is on may have to be waited for.
     pub(crate) fn start(&mut self, scope: ListScope, known: &Targets) {
-        self.learn(self.clock.now(), scope, known);
-        let wants = self.parts.told(self.clock.now(), Told::Start);
-        self.carry_wants(self.clock.now(), wants);
+        self.apply_list(self.clock.now(), scope, known);
+        let actions = self.extensions.notify(self.clock.now(), TurnEvent::Start);
+        self.carry_wants(self.clock.now(), actions);
     }
 
     /// One turn after another, until the program is to end and has nothing left to do.
-    pub(crate) async fn turns(&mut self) {
+    pub(crate) async fn run(&mut self) {
         loop {
             let now = self.clock.now();
             let own = &self.accounted.own;
             self.core.set_own_time(own.part(), own.turn(), self.busy.total());
             let (sent, ended) = self.turn(now).await;
             self.account(sent, ended);
-            let superseded = self.parts.beside().is_some_and(Neighbours::has_newer);
-            if self.doors.turn(now, superseded, self.inbox.asked()).await && self.queries.is_empty() {
+            let superseded = self.extensions.siblings().is_some_and(Neighbours::has_newer);
+            if self.doors.turn(now, superseded, self.inbox.next_query_id()).await && self.queries.is_empty() {
                 return;
             }
             let ended = (self.upstream.has_ended() || !self.ended.is_empty()).then_some(now);
-            let put_off = (!self.put_off.is_empty()).then_some(now);
+            let deferred = (!self.deferred.is_empty()).then_some(now);
             let doors = self.doors.due(now + self.tick);
-            let view = View { core: &self.core, queries: &self.queries, rev: self.list.rev };
-            let parts = self.parts.due(now, view);
+            let view = View { core: &self.core, queries: &self.queries, rev: self.server_list.rev };
+            let parts = self.extensions.due(now, view);
             let room = self.room.due(now);
-            let due = [Some(self.core.due()), Some(self.upstream.due()), doors, ended, put_off, parts, room];
+            let due = [Some(self.core.due()), Some(self.upstream.due()), doors, ended, deferred, parts, room];
             let due = due.into_iter().flatten().min().unwrap_or(Micros::MAX);
             self.pause(now, due).await;
         }
@@ -112,8 +112,8 @@
         };
         self.inbox.wait().or(timer).await;
         loop {
-            let in_hand = self.queries.len() + self.inbox.asks();
-            let awaited = self.upstream.out().saturating_sub(self.inbox.ends());
+            let in_hand = self.queries.len() + self.inbox.pending_queries();
+            let awaited = self.upstream.in_flight().saturating_sub(self.inbox.pending_answers());
             let next = self.pacing.earliest(now, in_hand, awaited);
             if self.clock.now() >= next {
                 break;
@@ -122,11 +122,11 @@
                 Timer::at(self.clock.instant(next)).await;
             };
             if !self.pacing.heeds_news() {
-                self.upstream.hold(true);
+                self.upstream.pause_reads(true);
                 time.await;
-                return self.upstream.hold(false);
+                return self.upstream.pause_reads(false);
             }
-            self.inbox.further().or(time).await;
+            self.inbox.wait_for_more().or(time).await;
         }
         // What else the sockets hold by now comes along.
         yield_now().await;
@@ -134,7 +134,7 @@
 
     /// Learns what this thread needs.
     fn account(&mut self, sent: usize, ended: usize) {
-        let (total, dials) = (self.busy.total(), self.upstream.dialled());
+        let (total, dials) = (self.busy.total(), self.upstream.dial_count());
         let Accounted { own, busy, dialled } = &mut self.accounted;
         let dialled_now = *dialled != dials || self.upstream.is_dialling();
         own.observe(Turn { busy: total - *busy, sent, ended, dialled: dialled_now });
@@ -143,37 +143,37 @@
 
     /// One turn. So many attempts were sent, and so many have ended.
     async fn turn(&mut self, now: Micros) -> (usize, usize) {
-        let view = View { core: &self.core, queries: &self.queries, rev: self.list.rev };
-        let wants = self.parts.told(now, Told::Begin(view));
-        self.carry_wants(now, wants);
-        let mut asks = std::mem::take(&mut self.put_off);
+        let view = View { core: &self.core, queries: &self.queries, rev: self.server_list.rev };
+        let actions = self.extensions.notify(now, TurnEvent::TurnStart(view));
+        self.carry_wants(now, actions);
+        let mut asks = std::mem::take(&mut self.deferred);
         let mut calls = Vec::new();
         for input in self.inbox.take() {
             match input {
-                Input::Ask(id, connection, ask, client) => asks.push((id, connection, ask, client)),
-                Input::Gone(id) => {
+                Input::Query(id, connection, ask, client) => asks.push((id, connection, ask, client)),
+                Input::ClientGone(id) => {
                     asks.retain(|(ask, ..): &Asked| *ask != id);
                     self.core.leave(id);
-                    self.queries.gone(now, id);
+                    self.queries.client_gone(now, id);
                 }
-                Input::Line(id, event) => self.upstream.hear(now, id, event),
+                Input::Connection(id, event) => self.upstream.handle_event(now, id, event),
                 Input::Targets(targets) => {
-                    self.learn(now, targets.scope(), &targets);
+                    self.apply_list(now, targets.scope(), &targets);
                     if targets.all {
-                        let wants = self.parts.told(now, Told::List);
-                        self.carry_wants(now, wants);
+                        let actions = self.extensions.notify(now, TurnEvent::WholeList);
+                        self.carry_wants(now, actions);
                     }
                 }
                 Input::Reload => self.reload(now),
                 Input::Terminate => self.terminate(now),
                 // Its part has heard it above.
-                Input::Part => {}
+                Input::Extension => {}
                 Input::Operator(call, answer) => calls.push((call, answer)),
             }
         }
-        let view = View { core: &self.core, queries: &self.queries, rev: self.list.rev };
-        let wants = self.parts.told(now, Told::Heard(view));
-        self.carry_wants(now, wants);
+        let view = View { core: &self.core, queries: &self.queries, rev: self.server_list.rev };
+        let actions = self.extensions.notify(now, TurnEvent::InputTaken(view));
+        self.carry_wants(now, actions);
         let reports = self.take_reports(now);
         let ended = reports.len();
         let decisions = self.core.report(now, reports);
@@ -186,8 +186,8 @@
         self.look_at_clients(now).await;
         let sent = self.dispatches.len();
         self.send_all(now);
-        for query in self.queries.take_over() {
-            self.upstream.take_back(now, query);
+        for query in self.queries.take_ended() {
+            self.upstream.withdraw_query(now, query);
         }
         self.upstream.sweep(now);
         for (call, answer) in calls {
@@ -198,27 +198,27 @@
     }
 
     /// Does what optional parts want done.
-    fn carry_wants(&mut self, now: Micros, wants: Vec<Want>) {
-        self.queries.mirror(self.parts.notes());
-        for want in wants {
+    fn carry_wants(&mut self, now: Micros, actions: Vec<Action>) {
+        self.queries.record_updates(self.extensions.wants_updates());
+        for want in actions {
             match want {
-                Want::Remember(recall) => {
-                    let told = self.parts.told(now, Told::TakenOver);
+                Action::Restore(recall) => {
+                    let told = self.extensions.notify(now, TurnEvent::StateReceived);
                     self.carry_wants(now, told);
                     // The list that is known at the start waits for the first turn; this is about its servers.
                     let decisions = self.core.tick(now);
                     self.carry_out(now, decisions);
                     self.core.remember(now, 0, &recall);
-                    self.list.drain(now, &recall, &mut self.core, &mut self.upstream);
+                    self.server_list.apply_drains(now, &recall, &mut self.core, &mut self.upstream);
                 }
-                Want::Hear(word) => self.queries.hear(now, word),
-                Want::Copies(copies) => {
+                Action::ApplyUpdate(word) => self.queries.apply_update(now, word),
+                Action::SetProcessCount(copies) => {
                     self.core.set_copies(copies);
-                    self.queries.set_copies(copies);
+                    self.queries.set_process_count(copies);
                     self.room.set_copies(copies);
                     self.room.share_out(now, 0, &self.doors.fronts, &mut self.upstream);
                 }
-                Want::Open => self.doors.open(self.parts.shut().is_some()),
+                Action::RecheckReadiness => self.doors.open(self.extensions.not_ready_reason().is_some()),
             }
         }
     }
@@ -226,7 +226,7 @@
     /// Clients that are connected are served for as long as that can be over before the process is ended.
     fn terminate(&mut self, now: Micros) {
         let ending = Ending::of(self.core.longest_wait(now));
-        let superseded = self.parts.beside().is_some_and(Neighbours::has_newer);
+        let superseded = self.extensions.siblings().is_some_and(Neighbours::has_newer);
         let ending = Ending { stay: if superseded { 0 } else { ending.stay }, ..ending };
         if self.doors.terminate(now, ending, self.queries.len()) {
             self.core.answer_by(now + ending.answer);
@@ -235,14 +235,14 @@
 
     /// Takes queries up, so far as all parts let them in.
     fn admit(&mut self, now: Micros, asks: Vec<Asked>) -> Vec<Query> {
-        self.core.set_elsewhere(self.parts.beside().map_or(0, Neighbours::units));
+        self.core.set_elsewhere(self.extensions.siblings().map_or(0, Neighbours::units));
         let mut queries = Vec::new();
         for (id, connection, ask, client) in asks {
-            match self.parts.entry(now, &ask) {
-                Entry::Refused => self.queries.turn_away(&ask, &client),
-                Entry::Later => self.put_off.push((id, connection, ask, client)),
-                Entry::In => {
-                    let beside = Beside(self.parts.beside());
+            match self.extensions.admit(now, &ask) {
+                Admission::Refused => self.queries.refuse(&ask, &client),
+                Admission::Deferred => self.deferred.push((id, connection, ask, client)),
+                Admission::Admitted => {
+                    let beside = OtherProcesses(self.extensions.siblings());
                     queries.extend(self.queries.admit(now, id, connection, ask, client, beside));
                 }
             }
@@ -256,11 +256,11 @@
         let mut asked: Vec<QueryId> = self.dispatches.keys().map(|attempt| attempt.query).collect();
         asked.dedup();
         let clients: Vec<_> = asked.iter().filter_map(|id| self.queries.presence(*id)).cloned().collect();
-        look_at(&clients).await;
+        refresh_presence(&clients).await;
         for id in asked {
-            if self.queries.presence(id).is_some_and(|client| !client.waits()) {
+            if self.queries.presence(id).is_some_and(|client| !client.is_waiting()) {
                 self.core.leave(id);
-                self.queries.gone(now, id);
+                self.queries.client_gone(now, id);
             }
         }
     }
@@ -272,18 +272,18 @@
         let fitted = self.room.fit(now, dispatches, &mut self.queries, &mut self.core, &self.upstream);
         self.ended.extend(fitted.never.into_iter().map(never_sent));
         for query in fitted.refused {
-            let class = self.queries.sight(query).map(|sight| sight.class);
+            let class = self.queries.status(query).map(|status| status.class);
             let retry_after = class.and_then(|class| self.core.advice(class));
             self.core.leave(query);
             self.finish(now, query, Verdict::Refuse { retry_after });
         }
         let go = fitted.go.into_iter();
-        let mut sends: Vec<Vec<Send>> =
+        let mut sends: Vec<Vec<DispatchedAttempt>> =
             go.map(|of| of.into_iter().filter_map(|d| self.send(now, d)).collect()).collect();
-        let words = self.queries.take_words();
-        let wants = self.parts.told(now, Told::Decided(&words));
-        self.carry_wants(now, wants);
-        if self.parts.beside().is_some_and(|beside| beside.keyed(now) != Keyed::May) {
+        let words = self.queries.take_updates();
+        let actions = self.extensions.notify(now, TurnEvent::Decided(&words));
+        self.carry_wants(now, actions);
+        if self.extensions.siblings().is_some_and(|beside| beside.keyed(now) != Keyed::May) {
             let held = sends.iter_mut().flat_map(|of| of.extract_if(.., |send| send.key.is_some()));
             self.ended.extend(held.map(|send| never_sent(send.attempt)));
         }
@@ -304,14 +304,14 @@
             };
             let (refused, in_part) = (self.room.refused, self.room.in_part);
             census.short_of_room = (refused + in_part > 0).then_some((refused, in_part));
-            self.parts.count(&mut census);
-            self.queries.figures(&census)
+            self.extensions.report_gauges(&mut census);
+            self.queries.render_metrics(&census)
         };
-        self.doors.operate(now, call, self.parts.shut(), self.queries.len(), figures)
+        self.doors.operate(now, call, self.extensions.not_ready_reason(), self.queries.len(), figures)
     }
 
-    fn learn(&mut self, now: Micros, scope: ListScope, targets: &Targets) {
-        self.list.learn(now, scope, targets, &mut self.core, &mut self.upstream);
+    fn apply_list(&mut self, now: Micros, scope: ListScope, targets: &Targets) {
+        self.server_list.apply(now, scope, targets, &mut self.core, &mut self.upstream);
     }
 
     /// Goes by other settings, each part of the program for itself.
@@ -322,12 +322,12 @@
         self.room.retune(given, &placed.settings, &placed.names, config.max_open);
         self.tick = millis(config.settings.tick);
         self.pacing = self.files.pacing(&config.settings);
-        self.list.zones.clone_from(&placed.names.zones);
-        self.queries.retune(&placed.settings, &placed.names, config.max_open);
-        self.queries.forget_tenants(&placed.tenants_begun);
+        self.server_list.zones.clone_from(&placed.names.zones);
+        self.queries.reconfigure(&placed.settings, &placed.names, config.max_open);
+        self.queries.reset_tenants(&placed.tenants_begun);
         let quarantine = quarantine(&placed.settings);
-        let wants = self.parts.told(now, Told::Retuned { quarantine });
-        self.carry_wants(now, wants);
+        let actions = self.extensions.notify(now, TurnEvent::Reconfigured { quarantine });
+        self.carry_wants(now, actions);
         self.core.retune(&placed, config.max_open, now + BINDS);
         self.upstream.set_limits(config.pool);
         self.doors.fronts.change(now, self.files.terms(&placed.settings, &placed.names));
@@ -339,14 +339,14 @@
     fn take_reports(&mut self, now: Micros) -> Vec<Report> {
         let mut ended = std::mem::take(&mut self.ended);
         ended.extend(self.upstream.take_ended(now));
-        let report = |mut e: Ended| {
-            self.queries.ended(now, &mut e);
+        let report = |mut e: EndedAttempt| {
+            self.queries.attempt_ended(now, &mut e);
             Report {
                 attempt: e.attempt,
                 outcome: e.outcome,
                 elapsed: e.elapsed,
                 load: e.load,
-                connected: e.connected,
+                connected: e.connected_at,
             }
         };
         ended.into_iter().map(report).collect()
@@ -365,7 +365,7 @@
                 // Called off in the turn that asked for it.
                 self.ended.push(never_sent(attempt));
             } else {
-                self.upstream.give_up(now, attempt);
+                self.upstream.cancel(now, attempt);
             }
         }
         for Final { query, verdict } in decisions.finals {
@@ -388,8 +388,10 @@
     }
 
     fn finish(&mut self, now: Micros, query: QueryId, verdict: Verdict) {
-        let wants = self.parts.told(now, Told::Ended { in_time: matches!(verdict, Verdict::Answer { .. }) });
-        self.carry_wants(now, wants);
+        let actions = self
+            .extensions
+            .notify(now, TurnEvent::QueryEnded { answered: matches!(verdict, Verdict::Answer { .. }) });
+        self.carry_wants(now, actions);
         self.queries.finish(now, query, |values| match verdict {
             Verdict::Refuse { retry_after } => Reply::Refused { retry_after },
             Verdict::Fail => Reply::Failed,
@@ -398,12 +400,12 @@
     }
 
     /// A dispatch with all that its frame needs. `None`: it does not go out.
-    fn send(&mut self, now: Micros, d: Dispatch) -> Option<Send> {
+    fn send(&mut self, now: Micros, d: Dispatch) -> Option<DispatchedAttempt> {
         let attempt = d.attempt;
-        match self.queries.outgoing(now, d) {
+        match self.queries.prepare(now, d) {
             Ok(send) => return Some(send),
-            Err(Held::Over) => {}
-            Err(Held::Repeat) => {
+            Err(Withheld::QueryEnded) => {}
+            Err(Withheld::Repeat) => {
                 // An earlier query of its key may have run this part: this one can be neither served nor refused.
                 self.core.leave(attempt.query);
                 self.queries.finish(now, attempt.query, |_| Reply::Failed);
@@ -414,6 +416,13 @@
     }
 }
 
-fn never_sent(attempt: AttemptId) -> Ended {
-    Ended { attempt, outcome: Outcome::NotSent, elapsed: 0, load: None, connected: None, value: None }
+fn never_sent(attempt: AttemptId) -> EndedAttempt {
+    EndedAttempt {
+        attempt,
+        outcome: Outcome::NotSent,
+        elapsed: 0,
+        load: None,
+        connected_at: None,
+        value: None,
+    }
 }
--- a/crates/broker/src/front/http1.rs
+++ b/crates/broker/src/front/http1.rs
@@ -244,7 +244,7 @@
             Routed::Query(ask) => ask,
             Routed::Answered { response, usable } => return Ok((response, usable, false)),
         };
-        let ticket = self.shared.inbox.ask(number, ask, 1);
+        let ticket = self.shared.inbox.submit(number, ask, 1);
         let reply = async { io::Result::Ok(ticket.reply().await) };
         let mut cut = false;
         let gone = async {
@@ -253,7 +253,7 @@
                 // Clients send one request at a time. What one sends ahead is kept so far; what comes behind that is thrown
                 // away, since the word that it has gone may be behind all of it.
                 let into = if input.len() < AHEAD { &mut *input } else { &mut rest };
-                if ticket.hear(read_some(stream, into)).await? == 0 {
+                if ticket.receive(read_some(stream, into)).await? == 0 {
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
                 cut |= !rest.is_empty();
--- a/crates/broker/src/front/http2/stream.rs
+++ b/crates/broker/src/front/http2/stream.rs
@@ -58,11 +58,11 @@
                     Routed::Query(ask) => {
                         let until = begun + span(ask.patience);
                         // The connection reads when its streams have been looked at: a reset shows with the second look.
-                        let ticket = shared.inbox.ask(connection, ask, 2);
+                        let ticket = shared.inbox.submit(connection, ask, 2);
                         // The client's reset drops the ticket, and so tells the turn loop in time for its next turn.
                         let reply = async { Some(ticket.reply().await) };
                         let gone = async {
-                            let _ = ticket.hear(poll_fn(|cx| respond.poll_reset(cx))).await;
+                            let _ = ticket.receive(poll_fn(|cx| respond.poll_reset(cx))).await;
                             None
                         };
                         let Some(reply) = reply.or(gone).await else { return End::Reset(true) };
--- a/crates/broker/src/front/tests.rs
+++ b/crates/broker/src/front/tests.rs
@@ -200,7 +200,7 @@
         let client = rig.connect();
         (&client).write_all(QUERY).await.unwrap();
         let client_of_it = loop {
-            if let Some(Input::Ask(_, _, _, asked)) = rig.shared.inbox.take().pop() {
+            if let Some(Input::Query(_, _, _, asked)) = rig.shared.inbox.take().pop() {
                 break asked;
             }
             yield_now().await;
--- a/crates/broker/src/hand_over.rs
+++ b/crates/broker/src/hand_over.rs
@@ -1,8 +1,8 @@
 //! The hand-over between processes that are one broker, as a part of its turns: what is said and believed is decided by
 //! `plover_handover`, the sockets are those of [`crate::neighbours`].
 
+use crate::extensions::{Action, Admission, Extension, TurnEvent, View};
 use crate::neighbours::Sockets;
-use crate::parts::{Entry, Part, Told, View, Want};
 use plover_handover::wire::Word;
 use plover_handover::{Keyed, Neighbours, News};
 use plover_model::query::Ask;
@@ -29,7 +29,7 @@
     }
 
     /// Hears out the processes that are there already, before this one says that it serves.
-    fn settle(&mut self, wants: &mut Vec<Want>) {
+    fn settle(&mut self, actions: &mut Vec<Action>) {
         let mut news = Vec::new();
         // What they are owed is told as soon as they have greeted.
         loop {
@@ -44,53 +44,56 @@
             }
             std::thread::sleep(SETTLE_STEP);
         }
-        self.take(news, wants);
+        self.take(news, actions);
     }
 
     /// Takes what other processes of this broker have said, and tells one that has just come all that is known.
-    fn hear(&mut self, now: Micros, view: View<'_>, wants: &mut Vec<Want>) {
+    fn hear(&mut self, now: Micros, view: View<'_>, actions: &mut Vec<Action>) {
         let news = self.sockets.turn(now);
         let owed = self.sockets.owed();
         if !owed.is_empty() {
             let recall = Word::Recall(Box::new(view.core.recall(now, view.rev)));
             // What was noted before this is part of all that is known.
-            let words = [recall].into_iter().chain(view.queries.tell_all()).chain([Word::Told]);
+            let words = [recall].into_iter().chain(view.queries.all_updates()).chain([Word::Told]);
             for word in words {
                 owed.iter().for_each(|id| self.sockets.tell_one(now, *id, &word));
             }
             self.sockets.flush(now);
         }
-        self.take(news, wants);
+        self.take(news, actions);
     }
 
-    fn take(&mut self, news: Vec<News>, wants: &mut Vec<Want>) {
+    fn take(&mut self, news: Vec<News>, actions: &mut Vec<Action>) {
         for news in news {
             match news {
-                News::Recall(recall) => wants.push(Want::Remember(recall)),
-                News::Key(word) => wants.push(Want::Hear(word)),
+                News::Recall(recall) => actions.push(Action::Restore(recall)),
+                News::Key(word) => actions.push(Action::ApplyUpdate(word)),
                 News::Joined(older) => info!(name: "hand_over_joined", older),
                 News::Gone => {}
             }
         }
         let copies = self.sockets.known.copies();
         if std::mem::replace(&mut self.copies, copies) != copies {
-            wants.push(Want::Copies(copies));
+            actions.push(Action::SetProcessCount(copies));
         }
     }
 }
 
-impl Part for HandOver {
-    fn told(&mut self, now: Micros, what: Told<'_>, wants: &mut Vec<Want>) {
+impl Extension for HandOver {
+    fn on_event(&mut self, now: Micros, what: TurnEvent<'_>, actions: &mut Vec<Action>) {
         match what {
-            Told::Start => self.settle(wants),
-            Told::Begin(view) => self.hear(now, view, wants),
+            TurnEvent::Start => self.settle(actions),
+            TurnEvent::TurnStart(view) => self.hear(now, view, actions),
             // Before its attempts go out: a part of a key that they do not know of by then does not.
-            Told::Decided(words) => {
+            TurnEvent::Decided(words) => {
                 words.iter().for_each(|word| self.sockets.tell(now, word));
                 self.sockets.flush(now);
             }
-            Told::Retuned { quarantine } => self.sockets.known.set_quarantine(quarantine),
-            Told::List | Told::Heard(_) | Told::Ended { .. } | Told::TakenOver => {}
+            TurnEvent::Reconfigured { quarantine } => self.sockets.known.set_quarantine(quarantine),
+            TurnEvent::WholeList
+            | TurnEvent::InputTaken(_)
+            | TurnEvent::QueryEnded { .. }
+            | TurnEvent::StateReceived => {}
         }
     }
 
@@ -99,17 +102,17 @@
     }
 
     /// One of a keyed class waits where a process that has just come is about to say who it is.
-    fn entry(&mut self, now: Micros, ask: &Ask) -> Entry {
+    fn admit(&mut self, now: Micros, ask: &Ask) -> Admission {
         let known = &self.sockets.known;
         let soon = ask.key.is_some() && !known.is_settled() && known.keyed(now) != Keyed::May;
-        if soon { Entry::Later } else { Entry::In }
+        if soon { Admission::Deferred } else { Admission::Admitted }
     }
 
-    fn notes(&self) -> bool {
+    fn wants_updates(&self) -> bool {
         self.sockets.has_told()
     }
 
-    fn beside(&self) -> Option<&Neighbours> {
+    fn siblings(&self) -> Option<&Neighbours> {
         Some(&self.sockets.known)
     }
 }
--- a/crates/broker/src/inbox.rs
+++ b/crates/broker/src/inbox.rs
@@ -21,11 +21,11 @@
 /// Something that happened since the last turn.
 pub enum Input {
     /// A client asks, on its connection.
-    Ask(QueryId, Connection, Ask, Client),
+    Query(QueryId, Connection, Ask, Client),
     /// The client of a query has gone.
-    Gone(QueryId),
+    ClientGone(QueryId),
     /// A connection to a data server has news.
-    Line(u64, LineEvent),
+    Connection(u64, ConnectionEvent),
     /// Discovery has news.
     Targets(Targets),
     /// The configuration is to be read again.
@@ -33,23 +33,23 @@
     /// The program is to end.
     Terminate,
     /// Something came for an optional part, which takes it itself when the turn begins.
-    Part,
+    Extension,
     /// An operator calls; the answer is a status and a text.
     Operator(Call, Sender<(u16, String)>),
 }
 
 /// News of a connection to a data server.
-pub enum LineEvent {
+pub enum ConnectionEvent {
     /// A frame has come.
     Frame(FromServer),
     /// A frame has begun and is not all there yet.
-    Begun,
+    PartialFrame,
     /// The moment has passed by which something that waited there was to be written.
-    Late,
+    Expired,
     /// The connection has ended or never came up.
-    Down(io::Error),
+    Closed(io::Error),
     /// A frame came that cannot be read. The connection has ended: nothing tells where the next one begins.
-    Bad(BadFrame),
+    BadFrame(BadFrame),
 }
 
 /// Whether a client still waits for its query: for all that may begin an attempt in its name.
@@ -65,7 +65,7 @@
 
 impl Presence {
     /// Whether it waits, as far as is known.
-    pub fn waits(&self) -> bool {
+    pub fn is_waiting(&self) -> bool {
         !self.over.get()
     }
 
@@ -77,10 +77,10 @@
 }
 
 /// Has the tasks of clients read what the system holds by now, so that one that has gone is known to have gone.
-pub async fn look_at(clients: &[Rc<Presence>]) {
+pub async fn refresh_presence(clients: &[Rc<Presence>]) {
     let until: Vec<_> = clients.iter().map(|c| c.looks.get() + c.needed).collect();
     for _ in 0..STEPS {
-        let ahead = |(c, until): &(&Rc<Presence>, &usize)| c.waits() && c.looks.get() < **until;
+        let ahead = |(c, until): &(&Rc<Presence>, &usize)| c.is_waiting() && c.looks.get() < **until;
         let ahead: Vec<_> = clients.iter().zip(&until).filter(ahead).collect();
         if ahead.is_empty() {
             return;
@@ -149,7 +149,7 @@
 impl Inbox {
     /// Puts something in and wakes the loop.
     pub fn put(&self, input: Input) {
-        if matches!(input, Input::Line(_, LineEvent::Frame(FromServer::Answer { .. }))) {
+        if matches!(input, Input::Connection(_, ConnectionEvent::Frame(FromServer::Answer { .. }))) {
             self.ends.set(self.ends.get() + 1);
         }
         self.queue.borrow_mut().push(input);
@@ -159,17 +159,17 @@
     }
     /// Hands in a query; its reply comes once, unless the ticket is dropped before. That its client has gone shows once its
     /// task has looked so often.
-    pub fn ask(&self, connection: Connection, ask: Ask, looks: usize) -> Ticket<'_> {
+    pub fn submit(&self, connection: Connection, ask: Ask, looks: usize) -> Ticket<'_> {
         let id = self.next_query.get();
         self.next_query.set(id + 1);
         let (client, reply) = Client::new(looks);
         let presence = client.presence.clone();
         self.asks.set(self.asks.get() + 1);
-        self.put(Input::Ask(id, connection, ask, client));
+        self.put(Input::Query(id, connection, ask, client));
         Ticket { inbox: self, id, reply, presence }
     }
     /// A number that grows with each query.
-    pub fn asked(&self) -> QueryId {
+    pub fn next_query_id(&self) -> QueryId {
         self.next_query.get()
     }
     /// Takes all that is there.
@@ -180,16 +180,16 @@
         std::mem::take(&mut *self.queue.borrow_mut())
     }
     /// Queries that wait to be taken.
-    pub fn asks(&self) -> usize {
+    pub fn pending_queries(&self) -> usize {
         self.asks.get()
     }
     /// Ends of attempts that wait to be taken. What ends with its connection is not counted: nothing hangs on it but
     /// how soon a turn begins.
-    pub fn ends(&self) -> usize {
+    pub fn pending_answers(&self) -> usize {
         self.ends.get()
     }
     /// Waits until something further is put in.
-    pub async fn further(&self) {
+    pub async fn wait_for_more(&self) {
         let _ = self.bell.1.recv().await;
     }
     /// Waits until something is there.
@@ -215,7 +215,7 @@
     }
 
     /// Waits for something from the client. That there is nothing counts as a look.
-    pub async fn hear<T>(&self, comes: impl Future<Output = T>) -> T {
+    pub async fn receive<T>(&self, comes: impl Future<Output = T>) -> T {
         let mut comes = pin!(comes);
         poll_fn(|cx| {
             let polled = comes.as_mut().poll(cx);
@@ -235,7 +235,7 @@
         self.presence.task.take();
         // The loop closes the channel with the reply: only a query that it still holds needs the word.
         if !self.reply.is_closed() {
-            self.inbox.put(Input::Gone(self.id));
+            self.inbox.put(Input::ClientGone(self.id));
         }
     }
 }
--- a/crates/broker/src/inbox/tests.rs
+++ b/crates/broker/src/inbox/tests.rs
@@ -19,7 +19,7 @@
 
 /// The one query that waits to be taken.
 fn client(inbox: &Inbox) -> Client {
-    let Some(Input::Ask(_, _, _, client)) = inbox.take().pop() else { panic!("no query") };
+    let Some(Input::Query(_, _, _, client)) = inbox.take().pop() else { panic!("no query") };
     client
 }
 
@@ -32,25 +32,25 @@
         let has_gone = Rc::new(Cell::new(false));
         let (inbox_of_it, gone) = (inbox.clone(), has_gone.clone());
         let mut task = executor.spawn(async move {
-            let ticket = inbox_of_it.ask(1, ask(), needed);
+            let ticket = inbox_of_it.submit(1, ask(), needed);
             // What a look finds shows with the next one, where two are needed.
             let mut found = 0;
             let read = poll_fn(|_| {
                 found += usize::from(gone.get());
                 if found >= needed { Poll::Ready(()) } else { Poll::Pending }
             });
-            ticket.hear(read).await;
+            ticket.receive(read).await;
         });
         block_on(executor.run(async {
-            while inbox.asks() == 0 {
+            while inbox.pending_queries() == 0 {
                 yield_now().await;
             }
             let client = client(&inbox);
             has_gone.set(true);
             let others: Vec<_> = (0..1000).map(|_| executor.spawn(yield_now())).collect();
-            look_at(&[client.presence().clone()]).await;
-            assert!(!client.presence().waits(), "{needed} looks");
-            assert!(matches!(inbox.take()[..], [Input::Gone(_)]));
+            refresh_presence(&[client.presence().clone()]).await;
+            assert!(!client.presence().is_waiting(), "{needed} looks");
+            assert!(matches!(inbox.take()[..], [Input::ClientGone(_)]));
             assert!(poll_once(&mut task).await.is_some());
             drop(others);
         }));
@@ -64,19 +64,19 @@
     let executor = LocalExecutor::new();
     let inbox_of_it = inbox.clone();
     let _task = executor.spawn(async move {
-        let ticket = inbox_of_it.ask(1, ask(), 1);
+        let ticket = inbox_of_it.submit(1, ask(), 1);
         loop {
-            ticket.hear(async {}).await;
+            ticket.receive(async {}).await;
             yield_now().await;
         }
     });
     block_on(executor.run(async {
-        while inbox.asks() == 0 {
+        while inbox.pending_queries() == 0 {
             yield_now().await;
         }
         let client = client(&inbox);
-        look_at(&[client.presence().clone()]).await;
-        assert!(client.presence().waits());
+        refresh_presence(&[client.presence().clone()]).await;
+        assert!(client.presence().is_waiting());
     }));
 }
 
@@ -84,14 +84,14 @@
 #[test]
 fn nobody_looks_at_the_client_of_a_query_that_has_ended() {
     let inbox = Inbox::default();
-    let ticket = inbox.ask(1, ask(), 1);
-    assert!(block_on(poll_once(ticket.hear(pending::<()>()))).is_none());
+    let ticket = inbox.submit(1, ask(), 1);
+    assert!(block_on(poll_once(ticket.receive(pending::<()>()))).is_none());
     let client = client(&inbox);
     let presence = client.presence().clone();
     client.answer(Reply::Failed);
     drop(client);
-    assert!(!presence.waits());
-    block_on(look_at(&[presence]));
+    assert!(!presence.is_waiting());
+    block_on(refresh_presence(&[presence]));
     assert_eq!(block_on(ticket.reply()), Reply::Failed);
     drop(ticket);
     assert!(inbox.take().is_empty());
--- a/crates/broker/src/neighbours.rs
+++ b/crates/broker/src/neighbours.rs
@@ -154,7 +154,7 @@
         let inbox = self.inbox.clone();
         let task = self.executor.spawn(async move {
             while readable().await.is_ok() {
-                inbox.put(Input::Part);
+                inbox.put(Input::Extension);
                 if heard.recv().await.is_err() {
                     return;
                 }
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -1,7 +1,7 @@
 //! The queries in hand: whose they are, what came for them, and what may go out in their name.
 
 use crate::inbox::{Client, Presence};
-use crate::upstream::{Ended, Send};
+use crate::upstream::{DispatchedAttempt, EndedAttempt};
 use brookbend::api::{Semantics, Settings};
 use plover_admission::{Connection, Shares};
 use plover_core::{Dispatch, Query};
@@ -33,9 +33,9 @@
     /// The value of each part that is in.
     values: Vec<Option<String>>,
     /// Whether anything was sent for it.
-    begun: bool,
+    any_sent: bool,
     /// The weight of the parts that were left out for want of connections.
-    left_out: f64,
+    omitted_weight: f64,
     span: Span,
 }
 
@@ -111,9 +111,9 @@
 
 /// The other processes of this broker, if there may be any.
 #[derive(Clone, Copy)]
-pub(crate) struct Beside<'a>(pub(crate) Option<&'a Neighbours>);
+pub(crate) struct OtherProcesses<'a>(pub(crate) Option<&'a Neighbours>);
 
-impl Beside<'_> {
+impl OtherProcesses<'_> {
     /// Whether a part of a keyed class may be sent.
     pub(crate) fn keyed(self, now: Micros) -> Keyed {
         self.0.map_or(Keyed::May, |neighbours| neighbours.keyed(now))
@@ -122,20 +122,20 @@
 
 /// What is to be seen of a query in hand.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Sight {
+pub(crate) struct QueryStatus {
     /// Its class.
     pub(crate) class: usize,
     /// Whether anything was sent for it.
-    pub(crate) begun: bool,
+    pub(crate) any_sent: bool,
     /// The weight of what was left out for want of connections.
-    pub(crate) left_out: f64,
+    pub(crate) omitted_weight: f64,
 }
 
 /// Why a dispatch does not go out.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Held {
+pub(crate) enum Withheld {
     /// Its query has ended in the same turn.
-    Over,
+    QueryEnded,
     /// The part may have run under this key, and its repeats are no longer dropped.
     Repeat,
 }
@@ -193,24 +193,24 @@
     }
 
     /// Begins to note what other processes of this broker are to hear, or stops.
-    pub(crate) fn mirror(&mut self, on: bool) {
+    pub(crate) fn record_updates(&mut self, on: bool) {
         self.words = on.then(|| self.words.take().unwrap_or_default());
     }
 
     /// What they are to hear since the last time.
-    pub(crate) fn take_words(&mut self) -> Vec<Word> {
+    pub(crate) fn take_updates(&mut self) -> Vec<Word> {
         self.words.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
     /// All that a process that has just come has to hear.
-    pub(crate) fn tell_all(&self) -> Vec<Word> {
+    pub(crate) fn all_updates(&self) -> Vec<Word> {
         let mut words: Vec<Word> = self.pending.values().map(|p| opened(&p.ask, &p.permit)).collect();
         self.repeats.tell(|key, window, heard| words.push(word(key, window, heard, self.origin)));
         words
     }
 
     /// Takes what another process of this broker did with a key.
-    pub(crate) fn hear(&mut self, now: Micros, word: Word) {
+    pub(crate) fn apply_update(&mut self, now: Micros, word: Word) {
         let at = |shared: Micros| shared.saturating_sub(self.origin);
         let (key, whose, heard) = match word {
             Word::KeyOpened { key, until, whose } => (key, whose, Heard::Opened { until: at(until) }),
@@ -230,12 +230,12 @@
     }
 
     /// So many processes are this broker.
-    pub(crate) fn set_copies(&mut self, copies: u32) {
+    pub(crate) fn set_process_count(&mut self, copies: u32) {
         self.gate.set_copies(copies);
     }
 
     /// Goes by other settings for queries that come from now on; those in hand keep what they have.
-    pub(crate) fn retune(&mut self, settings: &Settings, names: &Names, room: usize) {
+    pub(crate) fn reconfigure(&mut self, settings: &Settings, names: &Names, room: usize) {
         let (window, keep) = repeat_times(settings);
         self.repeats.retune(window, keep);
         self.repeats.allow_copies(settings.second_copies);
@@ -247,7 +247,7 @@
     }
 
     /// Others begin at these tenants' indices.
-    pub(crate) fn forget_tenants(&mut self, tenants: &[usize]) {
+    pub(crate) fn reset_tenants(&mut self, tenants: &[usize]) {
         self.gate.forget_tenants(tenants);
     }
 
@@ -262,7 +262,7 @@
     }
 
     /// Those that have ended since the last time.
-    pub(crate) fn take_over(&mut self) -> Vec<QueryId> {
+    pub(crate) fn take_ended(&mut self) -> Vec<QueryId> {
         std::mem::take(&mut self.over)
     }
 
@@ -272,10 +272,10 @@
     }
 
     /// What a query that lacks connections is judged by; `None`: it has ended.
-    pub(crate) fn sight(&self, query: QueryId) -> Option<Sight> {
+    pub(crate) fn status(&self, query: QueryId) -> Option<QueryStatus> {
         let pending = self.pending.get(&query)?;
-        let Pending { begun, left_out, .. } = *pending;
-        Some(Sight { class: pending.ask.class, begun, left_out })
+        let Pending { any_sent, omitted_weight, .. } = *pending;
+        Some(QueryStatus { class: pending.ask.class, any_sent, omitted_weight })
     }
 
     /// A part's weight in its query's answer.
@@ -285,10 +285,10 @@
     }
 
     /// A part is left out for good.
-    pub(crate) fn leave_out(&mut self, query: QueryId, part: usize) {
+    pub(crate) fn omit_part(&mut self, query: QueryId, part: usize) {
         let weight = self.weight(query, part);
         if let Some(pending) = self.pending.get_mut(&query) {
-            pending.left_out += weight;
+            pending.omitted_weight += weight;
         }
     }
 
@@ -303,7 +303,7 @@
     }
 
     /// All figures.
-    pub(crate) fn figures(&self, census: &Census) -> String {
+    pub(crate) fn render_metrics(&self, census: &Census) -> String {
         self.books.render(census)
     }
 
@@ -313,7 +313,7 @@
     }
 
     /// Refuses a query at once, while this broker comes back.
-    pub(crate) fn turn_away(&mut self, ask: &Ask, client: &Client) {
+    pub(crate) fn refuse(&mut self, ask: &Ask, client: &Client) {
         let row = self.rows[ask.class];
         self.books.take(row);
         self.books.end(row, End::Declined);
@@ -328,7 +328,7 @@
         connection: Connection,
         ask: Ask,
         client: Client,
-        beside: Beside<'_>,
+        beside: OtherProcesses<'_>,
     ) -> Option<Query> {
         let row = self.rows[ask.class];
         let keyed = self.key_of(&ask);
@@ -406,15 +406,25 @@
         self.ids.insert(ask.id.clone());
         let values = vec![None; ask.parts.len()];
         self.books.take(row);
-        let (begun, left_out) = (false, 0.0);
-        let pending =
-            Pending { row, connection, permit, ask, key: keyed, client, values, begun, left_out, span };
+        let (any_sent, omitted_weight) = (false, 0.0);
+        let pending = Pending {
+            row,
+            connection,
+            permit,
+            ask,
+            key: keyed,
+            client,
+            values,
+            any_sent,
+            omitted_weight,
+            span,
+        };
         self.pending.insert(id, pending);
         Some(query)
     }
 
     /// The client has gone. Nothing may be left to free where the reply was on its way already.
-    pub(crate) fn gone(&mut self, now: Micros, query: QueryId) {
+    pub(crate) fn client_gone(&mut self, now: Micros, query: QueryId) {
         if let Some(pending) = self.close(now, query, End::Aborted) {
             pending.span.in_scope(|| debug!(name: "query_gone", query));
         }
@@ -453,16 +463,16 @@
     }
 
     /// A dispatch with all that its frame needs.
-    pub(crate) fn outgoing(&mut self, now: Micros, d: Dispatch) -> Result<Send, Held> {
-        let pending = self.pending.get_mut(&d.attempt.query).ok_or(Held::Over)?;
-        pending.begun = true;
-        let part = pending.ask.parts.get(d.attempt.part).ok_or(Held::Over)?;
-        let mut by = Micros::MAX;
+    pub(crate) fn prepare(&mut self, now: Micros, d: Dispatch) -> Result<DispatchedAttempt, Withheld> {
+        let pending = self.pending.get_mut(&d.attempt.query).ok_or(Withheld::QueryEnded)?;
+        pending.any_sent = true;
+        let part = pending.ask.parts.get(d.attempt.part).ok_or(Withheld::QueryEnded)?;
+        let mut write_deadline = Micros::MAX;
         if let Some((key, window)) = &pending.key {
             if !self.repeats.may_send(now, key, part.shard) {
-                return Err(Held::Repeat);
+                return Err(Withheld::Repeat);
             }
-            by = self.repeats.until(key, part.shard).unwrap_or(by);
+            write_deadline = self.repeats.until(key, part.shard).unwrap_or(write_deadline);
             if let Some(words) = &mut self.words {
                 let heard = Heard::Sent { shard: part.shard, at: now, until: d.until };
                 words.push(word(key, Some(*window), heard, self.origin));
@@ -473,11 +483,11 @@
         pending.span.in_scope(
             || debug!(name: "part_sent", shard = part.shard, attempt = d.attempt.attempt, server = %d.server.0),
         );
-        Ok(Send {
+        Ok(DispatchedAttempt {
             attempt: d.attempt,
             server: d.server,
-            until: d.until,
-            by,
+            deadline: d.until,
+            write_deadline,
             part: PartId { request: pending.ask.id.clone(), shard: part.shard },
             key: pending.ask.key.clone(),
             text: pending.ask.text.clone(),
@@ -486,7 +496,7 @@
     }
 
     /// Takes the end of an attempt: its value stays here, with its query.
-    pub(crate) fn ended(&mut self, now: Micros, ended: &mut Ended) {
+    pub(crate) fn attempt_ended(&mut self, now: Micros, ended: &mut EndedAttempt) {
         if let Some((key, window, shard)) = self.keyed.remove(&ended.attempt) {
             let proof = match ended.outcome {
                 Outcome::Served | Outcome::Error => Proof::Ran,
--- a/crates/broker/src/queries/tests.rs
+++ b/crates/broker/src/queries/tests.rs
@@ -36,20 +36,23 @@
         limits: Default::default(),
     };
     let (client, reply) = Client::new(1);
-    match queries.admit(now, id, 1, ask, client, Beside(None)) {
+    match queries.admit(now, id, 1, ask, client, OtherProcesses(None)) {
         Some(_) => Ok(id),
         None => Err(reply.try_recv().unwrap()),
     }
 }
 
-fn send(queries: &mut Queries, now: Micros, query: QueryId, attempt: u32) -> Result<AttemptId, Held> {
+fn send(queries: &mut Queries, now: Micros, query: QueryId, attempt: u32) -> Result<AttemptId, Withheld> {
     let attempt = AttemptId { query, part: 0, attempt };
     let dispatch = Dispatch { attempt, server: NodeId("s".into()), until: now + SECOND / 10 };
-    queries.outgoing(now, dispatch).map(|s| s.attempt)
+    queries.prepare(now, dispatch).map(|s| s.attempt)
 }
 
 fn end(queries: &mut Queries, now: Micros, attempt: AttemptId, outcome: Outcome) {
-    queries.ended(now, &mut Ended { attempt, outcome, elapsed: 0, load: None, connected: None, value: None });
+    queries.attempt_ended(
+        now,
+        &mut EndedAttempt { attempt, outcome, elapsed: 0, load: None, connected_at: None, value: None },
+    );
 }
 
 /// Data servers drop no repeats of such a class, whatever window another class has: what may have run is not run again
@@ -62,7 +65,7 @@
         let id = ask(&mut q, 0, 10 + class as u64, class, &key).unwrap();
         let attempt = send(&mut q, 0, id, 0).unwrap();
         end(&mut q, 10, attempt, Outcome::ConnectionLost);
-        q.gone(20, id);
+        q.client_gone(20, id);
         let again = ask(&mut q, SECOND, 20 + class as u64, class, &key);
         assert_eq!(again.is_ok(), served, "class {class}: {again:?}");
         assert!(served || again == Err(Reply::Failed));
@@ -78,7 +81,7 @@
         let id = ask(&mut q, 0, 1, 1, "k").unwrap();
         send(&mut q, 0, id, 0).unwrap();
         assert_eq!(send(&mut q, 10, id, 1).is_ok(), allowed);
-        q.retune(&settings(|s| s.second_copies = !allowed), &names(), 100);
+        q.reconfigure(&settings(|s| s.second_copies = !allowed), &names(), 100);
         assert_eq!(send(&mut q, 20, id, 2).is_ok(), !allowed, "as the settings are now");
     }
 }
@@ -93,7 +96,7 @@
     let mut q = queries(&none);
     ask(&mut q, 0, 1, 1, "k").unwrap();
     assert!(ask(&mut q, 10, 2, 1, "k").is_ok());
-    q.retune(&settings(|_| ()), &names(), 100);
+    q.reconfigure(&settings(|_| ()), &names(), 100);
     ask(&mut q, 20, 3, 1, "k").unwrap();
     assert!(ask(&mut q, 30, 4, 1, "k").is_err(), "it has one again, and is in hand");
 }
--- a/crates/broker/src/room.rs
+++ b/crates/broker/src/room.rs
@@ -3,7 +3,7 @@
 
 use crate::front::Fronts;
 use crate::queries::Queries;
-use crate::upstream::{Upstream, Way};
+use crate::upstream::{ConnectionChoice, Upstream};
 use brookbend::api::Settings;
 use plover_admission::budget;
 use plover_admission::descriptors::{Limit, Shared};
@@ -140,21 +140,21 @@
         let http2_seats = self.part(self.given.http2) * usize::from(self.given.http2 > 0);
         // What HTTP/2 may take is its own.
         let http2_held = http2.max(http2_seats);
-        let (sockets, free) = upstream.room();
-        let servers = upstream.known();
+        let (sockets, free) = upstream.capacity();
+        let servers = upstream.server_count();
         let seen = |now_needed: usize, peak: &mut Peak| {
             let lately = peak.see(now, now_needed as u64);
             Need { now: now_needed as u64, lately }
         };
         let clients = seen(fronts.busy() + http2_held, &mut self.clients);
-        let out = (upstream.out() + parts).max(self.widest as usize).min(servers);
+        let out = (upstream.in_flight() + parts).max(self.widest as usize).min(servers);
         let pool = seen(out, &mut self.pool);
         let target = self.divided.divide(clients, pool);
         let open = Shared { clients: (http1 + http2_held) as u64, pool: upstream.open() as u64 };
         let caps = self.divided.caps(target, open);
         self.moving = caps != target || open.clients > target.clients || open.pool > target.pool;
         if caps.pool as usize != sockets || free == 0 {
-            upstream.set_room(caps.pool as usize);
+            upstream.set_capacity(caps.pool as usize);
         }
         let http1_most =
             self.part(self.given.http1_most).min((caps.clients as usize).saturating_sub(http2_held));
@@ -176,29 +176,29 @@
         upstream: &Upstream,
     ) -> Fitted {
         self.drop_lacked(&dispatches, queries, core);
-        let (_, free) = upstream.room();
+        let (_, free) = upstream.capacity();
         if free >= dispatches.len() {
             return Fitted { go: vec![dispatches.into_values().collect()], ..Fitted::default() };
         }
-        let mut ways: BTreeMap<NodeId, (usize, Way)> = BTreeMap::new();
+        let mut ways: BTreeMap<NodeId, (usize, ConnectionChoice)> = BTreeMap::new();
         for d in dispatches.values() {
             // One that has no address is no matter of descriptors.
-            ways.entry(d.server.clone()).or_insert((0, Way::Shared)).0 += 1;
+            ways.entry(d.server.clone()).or_insert((0, ConnectionChoice::Shared)).0 += 1;
         }
         for (server, (parts, way)) in &mut ways {
-            *way = upstream.way(now, server, *parts).unwrap_or(Way::Shared);
+            *way = upstream.connection_choice(now, server, *parts).unwrap_or(ConnectionChoice::Shared);
         }
-        let count = |of: Way| ways.values().filter(|(_, way)| *way == of).count();
-        let mut may_open = free + upstream.idle().saturating_sub(count(Way::Idle));
+        let count = |of: ConnectionChoice| ways.values().filter(|(_, way)| *way == of).count();
+        let mut may_open = free + upstream.idle().saturating_sub(count(ConnectionChoice::Idle));
         let mut fitted = Fitted::default();
         let mut lacking: BTreeSet<NodeId> = BTreeSet::new();
         let mut left = dispatches;
-        if count(Way::New) > may_open {
+        if count(ConnectionChoice::New) > may_open {
             let mut granted: BTreeSet<NodeId> = BTreeSet::new();
             let asked: BTreeSet<QueryId> = left.keys().map(|attempt| attempt.query).collect();
             for query in asked {
                 let new = |d: &&Dispatch| {
-                    ways.get(&d.server).is_some_and(|(_, way)| *way == Way::New)
+                    ways.get(&d.server).is_some_and(|(_, way)| *way == ConnectionChoice::New)
                         && !granted.contains(&d.server)
                 };
                 let mut wanted: BTreeMap<NodeId, f64> = BTreeMap::new();
@@ -218,8 +218,8 @@
                 }
             }
         }
-        let way = |d: &Dispatch| ways.get(&d.server).map_or(Way::Shared, |(_, way)| *way);
-        fitted.go = [Way::Idle, Way::New, Way::Shared]
+        let way = |d: &Dispatch| ways.get(&d.server).map_or(ConnectionChoice::Shared, |(_, way)| *way);
+        fitted.go = [ConnectionChoice::Idle, ConnectionChoice::New, ConnectionChoice::Shared]
             .map(|of| left.extract_if(.., |_, d| way(d) == of).map(|(_, d)| d).collect())
             .into();
         fitted
@@ -237,7 +237,7 @@
             let of_part =
                 AttemptId { query, part, attempt: 0 }..=AttemptId { query, part, attempt: u32::MAX };
             if dispatches.range(of_part).next().is_none() {
-                queries.leave_out(query, part);
+                queries.omit_part(query, part);
                 core.leave_out(query, part);
             }
         }
@@ -256,34 +256,34 @@
         core: &mut Core,
         upstream: &Upstream,
     ) -> bool {
-        let Some(sight) = queries.sight(query) else { return true };
-        let (need, floor) = core.shares(sight.class).unwrap_or((1.0, 1.0));
+        let Some(status) = queries.status(query) else { return true };
+        let (need, floor) = core.shares(status.class).unwrap_or((1.0, 1.0));
         let servers: BTreeSet<&NodeId> = of_query(dispatches, query).map(|d| &d.server).collect();
         let without: Vec<AttemptId> =
             of_query(dispatches, query).filter(|d| lacking.contains(&d.server)).map(|d| d.attempt).collect();
         let plan = Plan {
             lacking: without.iter().map(|attempt| queries.weight(query, attempt.part)).sum(),
-            left_out: sight.left_out,
+            left_out: status.omitted_weight,
             servers_lacking: lacking.len(),
             servers: servers.len(),
         };
-        let (pool, _) = upstream.room();
+        let (pool, _) = upstream.capacity();
         let course = room::course(&plan, pool, need, floor);
         match course {
             Course::Send => {}
             Course::Again => self.lacked.extend(without.iter().map(|attempt| (query, attempt.part))),
             Course::LeaveOut => {
-                self.in_part += u64::from(sight.left_out == 0.0);
+                self.in_part += u64::from(status.omitted_weight == 0.0);
             }
             Course::Refuse => self.refused += 1,
         }
         if matches!(course, Course::LeaveOut | Course::Refuse) {
             for attempt in &without {
-                queries.leave_out(query, attempt.part);
+                queries.omit_part(query, attempt.part);
                 core.leave_out(query, attempt.part);
             }
             // The log takes one such line a second; the counts tell how many there were.
-            let (class, refused, in_part) = (queries.class_name(sight.class), self.refused, self.in_part);
+            let (class, refused, in_part) = (queries.class_name(status.class), self.refused, self.in_part);
             warn!(name: "query_too_wide", class, need = plan.servers, lacking = lacking.len(), room = pool, refused, in_part);
         }
         let goes = |attempt: &AttemptId| course != Course::Refuse && !without.contains(attempt);
@@ -294,7 +294,7 @@
         };
         let never = dispatches.extract_if(of_it, |attempt, _| !goes(attempt));
         fitted.never.extend(never.map(|(attempt, _)| attempt));
-        if course == Course::Refuse && !sight.begun {
+        if course == Course::Refuse && !status.any_sent {
             fitted.refused.push(query);
         }
         course != Course::Refuse
--- a/crates/broker/src/room/tests.rs
+++ b/crates/broker/src/room/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::front::{Fronts, Plan as FrontPlan, Shared as FrontShared};
-use crate::inbox::{Client, LineEvent};
-use crate::queries::Beside;
+use crate::inbox::{Client, ConnectionEvent};
+use crate::queries::OtherProcesses;
 use crate::rig;
-use crate::upstream::{Ended, Send};
+use crate::upstream::{DispatchedAttempt, EndedAttempt};
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::future::yield_now;
@@ -65,7 +65,7 @@
         let mut upstream = Upstream::new(Rc::default(), Rc::default(), Clock::standing(), limits).unwrap();
         let mut core = Core::new(settings.clone(), 1000, 7).named(&names());
         for n in 0..SERVERS {
-            upstream.learn(0, server(n), Some(listener.local_addr().unwrap()));
+            upstream.set_endpoint(0, server(n), Some(listener.local_addr().unwrap()));
         }
         let info = |n: usize| ServerInfo {
             name: server(n),
@@ -100,7 +100,7 @@
             limits: Default::default(),
         };
         let (client, _) = Client::new(1);
-        let query = self.queries.admit(self.now, id, id, ask, client, Beside(None)).unwrap();
+        let query = self.queries.admit(self.now, id, id, ask, client, OtherProcesses(None)).unwrap();
         let decisions = self.core.pick(self.now, vec![query]);
         decisions.dispatches.into_iter().map(|d| (d.attempt, d)).collect()
     }
@@ -112,15 +112,15 @@
     /// Carries out what goes.
     fn go(&mut self, fitted: &Fitted) {
         for of in &fitted.go {
-            let sends: Vec<Send> =
-                of.iter().map(|d| self.queries.outgoing(self.now, d.clone()).unwrap()).collect();
+            let sends: Vec<DispatchedAttempt> =
+                of.iter().map(|d| self.queries.prepare(self.now, d.clone()).unwrap()).collect();
             self.upstream.dispatch(self.now, sends);
         }
         assert!(!self.upstream.has_ended(), "all that goes has its connection");
     }
 
     /// The servers answer these attempts; tells the core, with those that were not sent.
-    fn end(&mut self, served: Vec<Ended>, never: Vec<AttemptId>) -> Vec<Final> {
+    fn end(&mut self, served: Vec<EndedAttempt>, never: Vec<AttemptId>) -> Vec<Final> {
         self.now += 5000;
         let never = never.into_iter().map(|attempt| Report {
             attempt,
@@ -141,16 +141,16 @@
     }
 
     /// All that is out is answered, on whatever connection it is.
-    fn answer_all(&mut self) -> Vec<Ended> {
-        let out = self.upstream.out();
+    fn answer_all(&mut self) -> Vec<EndedAttempt> {
+        let out = self.upstream.in_flight();
         for conn in 0..200 {
             for query in 1..6 {
                 for shard in 0..SERVERS {
                     let id = format!("r{query}.{shard}");
-                    if self.upstream.holds(conn, &id) {
+                    if self.upstream.has_in_flight(conn, &id) {
                         let (outcome, value) = (Outcome::Served, "v".to_owned());
                         let answer = FromServer::Answer { id, outcome, held: None, value };
-                        self.upstream.hear(self.now + 10, conn, LineEvent::Frame(answer));
+                        self.upstream.handle_event(self.now + 10, conn, ConnectionEvent::Frame(answer));
                     }
                 }
             }
@@ -222,7 +222,8 @@
     let fitted = rig.fit(wanted);
     assert_eq!(sent(&fitted)[..5], [10, 11, 12, 13, 14].map(server));
     rig.go(&fitted);
-    let dialled = (0..200).filter(|conn| (5..15).any(|s| rig.upstream.holds(*conn, &format!("r3.{s}"))));
+    let dialled =
+        (0..200).filter(|conn| (5..15).any(|s| rig.upstream.has_in_flight(*conn, &format!("r3.{s}"))));
     assert_eq!(dialled.collect::<Vec<_>>(), [0, 1, 2, 3, 4, 10, 11, 12, 13, 14]);
     assert_eq!(rig.upstream.open(), 10);
 }
@@ -302,7 +303,7 @@
     const READY: &[u8] = b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n";
     let mut rig = Rig::new(10, 1.0);
     rig.room = Room::new(given(60, 30), &settings(1.0), &names(), 1000);
-    rig.upstream.set_room(30);
+    rig.upstream.set_capacity(30);
     let executor = Rc::new(LocalExecutor::new());
     let clock = Clock::start();
     let shared = FrontShared::new(Rc::default(), clock, Terms::default());
@@ -321,11 +322,11 @@
             clients.push(client);
         }
         let mut turns = 0;
-        while rig.upstream.room().0 < SERVERS {
+        while rig.upstream.capacity().0 < SERVERS {
             let before = fronts.taken().0;
             rig.room.share_out(rig.now, 0, &fronts, &mut rig.upstream);
-            assert!(fronts.taken().0 + rig.upstream.room().0.max(rig.upstream.open()) <= 90);
-            while fronts.taken().0 == before && rig.upstream.room().0 < SERVERS {
+            assert!(fronts.taken().0 + rig.upstream.capacity().0.max(rig.upstream.open()) <= 90);
+            while fronts.taken().0 == before && rig.upstream.capacity().0 < SERVERS {
                 yield_now().await;
             }
             assert!(before - fronts.taken().0 <= 7, "no more at once than have places");
@@ -368,6 +369,6 @@
     assert_eq!((sent(&fitted).len(), fitted.never.len(), fitted.refused.len()), (10, 1, 0));
     rig.go(&fitted);
     assert!(rig.fit(BTreeMap::new()).never.is_empty());
-    let left_out = rig.queries.sight(1).unwrap().left_out;
-    assert_eq!((left_out, rig.room.in_part, rig.room.refused), (0.0, 0, 0));
+    let omitted_weight = rig.queries.status(1).unwrap().omitted_weight;
+    assert_eq!((omitted_weight, rig.room.in_part, rig.room.refused), (0.0, 0, 0));
 }
--- a/crates/broker/src/run.rs
+++ b/crates/broker/src/run.rs
@@ -2,17 +2,17 @@
 
 use crate::coming::{self, WayBack};
 use crate::doors::Doors;
+use crate::event_loop::{Accounted, Broker};
+use crate::extensions::Extensions;
 use crate::front::{Fronts, Plan, Shared};
 use crate::hand_over::HandOver;
 use crate::inbox::{Inbox, Input};
-use crate::list::List;
 use crate::neighbours::Sockets;
 use crate::operator::Operator;
-use crate::parts::Parts;
 use crate::queries::{Queries, quarantine};
 use crate::reload::Files;
 use crate::room::{Given, Room};
-use crate::turns::{Accounted, Broker};
+use crate::server_list::ServerList;
 use crate::upstream::Upstream;
 use async_executor::LocalExecutor;
 use async_signal::{Signal, Signals};
@@ -60,7 +60,7 @@
     heed(signals, hosted.broker.inbox.clone(), &executor);
     started(hosted.at);
     let busy = hosted.broker.busy.clone();
-    async_io::block_on(busy.measure(executor.run(hosted.broker.turns())));
+    async_io::block_on(busy.measure(executor.run(hosted.broker.run())));
     info!(name: "stopped", name = %name);
     Ok(())
 }
@@ -92,7 +92,7 @@
 
     /// Its turns, until it is told to end and has nothing left to do.
     pub async fn turns(mut self) {
-        self.broker.turns().await;
+        self.broker.run().await;
     }
 }
 
@@ -134,12 +134,12 @@
         Sockets::start(directory, &config.name, clock, quarantine, executor.clone(), inbox.clone())
     });
     let fronts = Fronts::start(shared, plan, clock, executor.clone());
-    let mut parts = Parts::default();
+    let mut extensions = Extensions::default();
     if let Some(set) = come_back {
-        parts.add(WayBack::begin(clock.now(), set, config.seed));
+        extensions.add(WayBack::begin(clock.now(), set, config.seed));
     }
     if let Some(sockets) = hand_over {
-        parts.add(HandOver::new(sockets, clock));
+        extensions.add(HandOver::new(sockets, clock));
     }
     let rev = config.known.rev;
     let watch = Start {
@@ -163,16 +163,16 @@
         upstream: Upstream::new(executor.clone(), inbox.clone(), clock, config.pool)?,
         discovery: Discovery::start(executor.clone(), list, watch),
         inbox,
-        doors: Doors::new(fronts, parts.shut().is_some()),
+        doors: Doors::new(fronts, extensions.not_ready_reason().is_some()),
         room,
-        list: List { clock, zones: config.names.zones, rev },
+        server_list: ServerList { clock, zones: config.names.zones, rev },
         dispatches: BTreeMap::new(),
         ended: Vec::new(),
-        put_off: Vec::new(),
+        deferred: Vec::new(),
         refusals_logged: 0,
         busy,
         accounted: Accounted::default(),
-        parts,
+        extensions,
     };
     broker.start(ListScope::Known, &config.known);
     config.notes.iter().for_each(|note| warn!(name: "settings_noted", note));
--- a/crates/broker/src/list.rs
+++ b/crates/broker/src/server_list.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 /// What the list is read by.
-pub(crate) struct List {
+pub(crate) struct ServerList {
     pub(crate) clock: Clock,
     /// Names of zones, in the settings' order.
     pub(crate) zones: Vec<String>,
@@ -18,9 +18,9 @@
     pub(crate) rev: u64,
 }
 
-impl List {
+impl ServerList {
     /// Takes news of the list.
-    pub(crate) fn learn(
+    pub(crate) fn apply(
         &mut self,
         now: Micros,
         scope: ListScope,
@@ -33,18 +33,24 @@
         if scope != ListScope::Changes {
             let named: BTreeSet<&NodeId> = servers.iter().map(|s| &s.name).collect();
             for name in upstream.serving().iter().filter(|name| !named.contains(name)) {
-                upstream.learn(now, name.clone(), None);
+                upstream.set_endpoint(now, name.clone(), None);
             }
         }
         for (server, target) in servers.iter().zip(&targets.targets) {
             let endpoint = target.endpoint.filter(|_| server.state == NodeState::Serving);
-            upstream.learn(now, server.name.clone(), endpoint);
+            upstream.set_endpoint(now, server.name.clone(), endpoint);
         }
         core.learn(scope, servers);
     }
 
     /// Takes from what the process before this one knew which servers were leaving, where its list was no older.
-    pub(crate) fn drain(&self, now: Micros, recall: &Recall, core: &mut Core, upstream: &mut Upstream) {
+    pub(crate) fn apply_drains(
+        &self,
+        now: Micros,
+        recall: &Recall,
+        core: &mut Core,
+        upstream: &mut Upstream,
+    ) {
         if recall.rev < self.rev {
             return;
         }
@@ -62,7 +68,7 @@
                 started: None,
             })
             .collect();
-        drains.iter().for_each(|s| upstream.learn(now, s.name.clone(), None));
+        drains.iter().for_each(|s| upstream.set_endpoint(now, s.name.clone(), None));
         core.learn(ListScope::Changes, drains);
     }
 }
--- a/crates/broker/src/upstream/line.rs
+++ b/crates/broker/src/upstream/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a data server: what waits to be written, what a turn writes at once, and what is read.
 
 use super::sockets::{Counts, Sockets, count};
-use crate::inbox::{Inbox, Input, LineEvent, Presence, look_at};
+use crate::inbox::{ConnectionEvent, Inbox, Input, Presence, refresh_presence};
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use futures_lite::future::pending;
@@ -17,33 +17,33 @@
 use std::time::Duration;
 
 /// One part, ready for its frame.
-pub(super) struct Outgoing {
+pub(super) struct QueuedPart {
     pub(super) attempt: AttemptId,
     pub(super) id: PartId,
     pub(super) wait_ms: u64,
     /// Its frame's last byte is written before this moment, or the part is not sent.
-    pub(super) by: Micros,
+    pub(super) write_deadline: Micros,
     /// Its frame's first byte too is written before this one: nobody waits for the answer then.
-    pub(super) until: Micros,
+    pub(super) deadline: Micros,
     pub(super) key: Option<Rc<str>>,
     pub(super) text: Rc<str>,
     pub(super) client: Rc<Presence>,
 }
 
 /// What a connection is to write.
-pub(super) enum Item {
+pub(super) enum WriteItem {
     /// One call.
-    Call(Vec<Outgoing>),
+    Call(Vec<QueuedPart>),
     /// A part's giving up.
-    GiveUp(PartId),
+    Cancel(PartId),
 }
 
-impl Item {
+impl WriteItem {
     /// Its parts; a giving up has none.
-    fn parts(&self) -> &[Outgoing] {
+    fn parts(&self) -> &[QueuedPart] {
         match self {
-            Item::Call(parts) => parts,
-            Item::GiveUp(_) => &[],
+            WriteItem::Call(parts) => parts,
+            WriteItem::Cancel(_) => &[],
         }
     }
 
@@ -52,15 +52,15 @@
     }
 
     /// The moment by which its frame is to be out.
-    fn by(&self) -> Micros {
-        self.parts().iter().map(|p| p.by).min().unwrap_or(Micros::MAX)
+    fn write_deadline(&self) -> Micros {
+        self.parts().iter().map(|p| p.write_deadline).min().unwrap_or(Micros::MAX)
     }
 
     /// Appends its frame.
     fn encode(&self, out: &mut Vec<u8>) {
         match self {
-            Item::GiveUp(part) => frame::give_up_into(out, part),
-            Item::Call(parts) => {
+            WriteItem::Cancel(part) => frame::give_up_into(out, part),
+            WriteItem::Call(parts) => {
                 let lines = parts.iter().map(|p| PartLine {
                     id: &p.id,
                     shard: p.id.shard,
@@ -75,10 +75,10 @@
 }
 
 /// What waits to be written to one connection, and its socket once it is up.
-pub(super) struct Line {
-    waiting: RefCell<VecDeque<Item>>,
+pub(super) struct Connection {
+    waiting: RefCell<VecDeque<WriteItem>>,
     /// What the turn writes by itself before it ends.
-    staged: RefCell<VecDeque<Item>>,
+    staged: RefCell<VecDeque<WriteItem>>,
     /// The parts of the frame that is being written; a giving up has none.
     writing: RefCell<Option<Vec<AttemptId>>>,
     /// What the socket did not take of that from a turn.
@@ -97,16 +97,16 @@
     counts: Rc<Counts>,
 }
 
-impl Line {
+impl Connection {
     pub(super) fn new(counts: Rc<Counts>) -> Self {
         let bell = async_channel::bounded(1);
         let (waiting, staged, writing, rest, late) = Default::default();
         let (socket, up_at, input, asked, ended) = Default::default();
-        Line { waiting, staged, writing, rest, late, bell, socket, up_at, input, asked, ended, counts }
+        Connection { waiting, staged, writing, rest, late, bell, socket, up_at, input, asked, ended, counts }
     }
 
     /// Takes something for its task to write.
-    pub(super) fn put(&self, item: Item) {
+    pub(super) fn put(&self, item: WriteItem) {
         self.waiting.borrow_mut().push_back(item);
         self.ring();
     }
@@ -115,8 +115,8 @@
         let _ = self.bell.0.try_send(());
     }
 
-    /// Takes something for the turn itself to write, where nothing stands before it. True: a [`Line::flush`] is owed.
-    pub(super) fn stage(&self, item: Item) -> bool {
+    /// Takes something for the turn itself to write, where nothing stands before it. True: a [`Connection::flush`] is owed.
+    pub(super) fn stage(&self, item: WriteItem) -> bool {
         if !self.is_free() {
             self.put(item);
             return false;
@@ -144,11 +144,11 @@
         };
         let now = clock.now();
         items.retain_mut(|item| match item {
-            Item::Call(parts) => {
+            WriteItem::Call(parts) => {
                 self.put_off_late(now, parts);
                 !parts.is_empty()
             }
-            Item::GiveUp(_) => true,
+            WriteItem::Cancel(_) => true,
         });
         out.clear();
         items.iter().for_each(|item| item.encode(out));
@@ -175,7 +175,7 @@
     }
 
     /// Of these items the first so many bytes are written: the rest is left to the task.
-    fn keep_rest(&self, items: &mut VecDeque<Item>, mut sent: usize) {
+    fn keep_rest(&self, items: &mut VecDeque<WriteItem>, mut sent: usize) {
         while let Some(item) = items.pop_front() {
             let mut frame = Vec::new();
             item.encode(&mut frame);
@@ -188,7 +188,7 @@
                 items.push_front(item);
             } else {
                 *self.writing.borrow_mut() = Some(item.attempts());
-                *self.rest.borrow_mut() = Some((frame.split_off(sent), item.by()));
+                *self.rest.borrow_mut() = Some((frame.split_off(sent), item.write_deadline()));
             }
             break;
         }
@@ -196,8 +196,8 @@
     }
 
     /// Sets those parts aside whose moment has passed.
-    fn put_off_late(&self, now: Micros, parts: &mut Vec<Outgoing>) {
-        let late = parts.extract_if(.., |p| now >= p.by.min(p.until)).map(|p| p.attempt);
+    fn put_off_late(&self, now: Micros, parts: &mut Vec<QueuedPart>) {
+        let late = parts.extract_if(.., |p| now >= p.write_deadline.min(p.deadline)).map(|p| p.attempt);
         self.late.borrow_mut().extend(late);
     }
 
@@ -206,15 +206,19 @@
     }
 
     /// Reads what the socket has, once, and tells what that is. The connection's end, if it has come to that.
-    pub(super) fn read(&self, chunk: &mut [u8], mut tell: impl FnMut(LineEvent)) -> Option<LineEvent> {
+    pub(super) fn read(
+        &self,
+        chunk: &mut [u8],
+        mut tell: impl FnMut(ConnectionEvent),
+    ) -> Option<ConnectionEvent> {
         let socket = self.socket()?;
         let n = loop {
             match socket.get_ref().read(chunk) {
-                Ok(0) => return Some(LineEvent::Down(io::ErrorKind::UnexpectedEof.into())),
+                Ok(0) => return Some(ConnectionEvent::Closed(io::ErrorKind::UnexpectedEof.into())),
                 Ok(n) => break n,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return None,
-                Err(error) => return Some(LineEvent::Down(error)),
+                Err(error) => return Some(ConnectionEvent::Closed(error)),
             }
         };
         let mut begun = self.input.borrow_mut();
@@ -229,13 +233,13 @@
                 Ok(None) => break,
                 Ok(Some((message, length))) => {
                     used += length;
-                    tell(LineEvent::Frame(message));
+                    tell(ConnectionEvent::Frame(message));
                 }
-                Err(bad) => return Some(LineEvent::Bad(bad)),
+                Err(bad) => return Some(ConnectionEvent::BadFrame(bad)),
             }
         }
         if used < input.len() {
-            tell(LineEvent::Begun);
+            tell(ConnectionEvent::PartialFrame);
         }
         if whole {
             begun.extend_from_slice(&chunk[used..n]);
@@ -253,13 +257,13 @@
     pub(super) fn withdraw(&self, attempt: AttemptId) -> bool {
         let mut taken = self.late.borrow_mut().remove(&attempt);
         self.waiting.borrow_mut().retain_mut(|item| match item {
-            Item::Call(parts) => {
+            WriteItem::Call(parts) => {
                 let before = parts.len();
                 parts.retain(|p| p.attempt != attempt);
                 taken |= parts.len() < before;
                 !parts.is_empty()
             }
-            Item::GiveUp(_) => true,
+            WriteItem::Cancel(_) => true,
         });
         taken
     }
@@ -272,14 +276,14 @@
     }
 
     /// Takes back all calls of which no byte is written.
-    pub(super) fn withdraw_calls(&self) -> Vec<Vec<Outgoing>> {
+    pub(super) fn withdraw_calls(&self) -> Vec<Vec<QueuedPart>> {
         let mut taken = Vec::new();
         self.waiting.borrow_mut().retain_mut(|item| match item {
-            Item::Call(parts) => {
+            WriteItem::Call(parts) => {
                 taken.push(std::mem::take(parts));
                 false
             }
-            Item::GiveUp(_) => true,
+            WriteItem::Cancel(_) => true,
         });
         taken
     }
@@ -288,7 +292,7 @@
     pub(super) fn unwritten(&self) -> BTreeSet<AttemptId> {
         let waiting = self.waiting.borrow();
         let staged = self.staged.borrow();
-        let parts = waiting.iter().chain(&*staged).flat_map(Item::parts).map(|p| &p.attempt);
+        let parts = waiting.iter().chain(&*staged).flat_map(WriteItem::parts).map(|p| &p.attempt);
         let (writing, late) = (self.writing.borrow(), self.late.borrow());
         parts.chain(writing.iter().flatten()).chain(&*late).copied().collect()
     }
@@ -360,30 +364,30 @@
     /// The clients of the next call.
     fn clients(&self) -> Vec<Rc<Presence>> {
         let waiting = self.waiting.borrow();
-        let clients = |item: &Item| match item {
-            Item::Call(parts) => {
-                let here = parts.iter().map(|p| &p.client).filter(|client| client.waits());
+        let clients = |item: &WriteItem| match item {
+            WriteItem::Call(parts) => {
+                let here = parts.iter().map(|p| &p.client).filter(|client| client.is_waiting());
                 Some(here.cloned().collect::<Vec<_>>()).filter(|clients| !clients.is_empty())
             }
-            Item::GiveUp(_) => Some(Vec::new()),
+            WriteItem::Cancel(_) => Some(Vec::new()),
         };
         waiting.iter().find_map(clients).unwrap_or_default()
     }
 
     /// What is to be written next. Parts for which nobody waits any more stay, for the pool to take back.
-    fn take(&self) -> Option<Item> {
+    fn take(&self) -> Option<WriteItem> {
         let mut waiting = self.waiting.borrow_mut();
         let next = waiting.iter().position(|item| match item {
-            Item::Call(parts) => parts.iter().any(|p| p.client.waits()),
-            Item::GiveUp(_) => true,
+            WriteItem::Call(parts) => parts.iter().any(|p| p.client.is_waiting()),
+            WriteItem::Cancel(_) => true,
         })?;
         let item = waiting.remove(next)?;
-        let Item::Call(parts) = item else { return Some(item) };
-        let (here, gone): (Vec<_>, Vec<_>) = parts.into_iter().partition(|p| p.client.waits());
+        let WriteItem::Call(parts) = item else { return Some(item) };
+        let (here, gone): (Vec<_>, Vec<_>) = parts.into_iter().partition(|p| p.client.is_waiting());
         if !gone.is_empty() {
-            waiting.insert(next, Item::Call(gone));
+            waiting.insert(next, WriteItem::Call(gone));
         }
-        Some(Item::Call(here))
+        Some(WriteItem::Call(here))
     }
 
     /// The next frame to write, and the moment by which it is to be out. Of what waits here nothing is written whose moment
@@ -401,7 +405,7 @@
             }
             let clients = self.clients();
             if waited && !clients.iter().all(|c| seen.iter().any(|s| Rc::ptr_eq(c, s))) {
-                look_at(&clients).await;
+                refresh_presence(&clients).await;
                 seen = clients;
                 continue;
             }
@@ -410,7 +414,7 @@
                 waited = false;
                 continue;
             };
-            if let Item::Call(parts) = &mut item {
+            if let WriteItem::Call(parts) = &mut item {
                 self.put_off_late(clock.now(), parts);
                 if parts.is_empty() {
                     return None;
@@ -419,7 +423,7 @@
             *self.writing.borrow_mut() = Some(item.attempts());
             let mut frame = Vec::new();
             item.encode(&mut frame);
-            return Some((frame, item.by()));
+            return Some((frame, item.write_deadline()));
         }
     }
 }
@@ -429,7 +433,7 @@
     id: u64,
     endpoint: SocketAddr,
     dial: Micros,
-    line: Rc<Line>,
+    connection: Rc<Connection>,
     sockets: Rc<Sockets>,
     inbox: Rc<Inbox>,
     clock: Clock,
@@ -437,51 +441,51 @@
     let error = match limited(Duration::from_micros(dial), Async::<TcpStream>::connect(endpoint)).await {
         Ok(stream) => {
             let stream = Rc::new(stream);
-            *line.socket.borrow_mut() = Some(stream.clone());
-            line.came_up(clock.now());
-            let up = stream.get_ref().set_nodelay(true).and_then(|()| sockets.add(id, &line));
+            *connection.socket.borrow_mut() = Some(stream.clone());
+            connection.came_up(clock.now());
+            let up = stream.get_ref().set_nodelay(true).and_then(|()| sockets.add(id, &connection));
             match up {
-                Ok(()) => write(&stream, id, &line, &sockets, &inbox, &clock).await,
+                Ok(()) => write(&stream, id, &connection, &sockets, &inbox, &clock).await,
                 Err(error) => error,
             }
         }
         Err(error) => error,
     };
-    sockets.end(id, &line, LineEvent::Down(error));
+    sockets.end(id, &connection, ConnectionEvent::Closed(error));
 }
 
 /// Writes until that fails.
 async fn write(
     stream: &Async<TcpStream>,
     id: u64,
-    line: &Line,
+    connection: &Connection,
     sockets: &Sockets,
     inbox: &Inbox,
     clock: &Clock,
 ) -> io::Error {
     loop {
-        let next = line.next(clock).await;
-        if line.has_late() {
-            inbox.put(Input::Line(id, LineEvent::Late));
+        let next = connection.next(clock).await;
+        if connection.has_late() {
+            inbox.put(Input::Connection(id, ConnectionEvent::Expired));
         }
-        let Some((frame, by)) = next else { continue };
+        let Some((frame, write_deadline)) = next else { continue };
         // What has come is read before anything is written, as in a turn's flush.
-        sockets.read(id, line);
-        if line.has_ended() {
+        sockets.read(id, connection);
+        if connection.has_ended() {
             return pending().await;
         }
-        if let Err(error) = write_by(stream, &frame, by, clock).await {
+        if let Err(error) = write_before(stream, &frame, write_deadline, clock).await {
             return error;
         }
-        line.written();
+        connection.written();
     }
 }
 
 /// Writes a frame. Once its moment has passed its end must not go out, and so nothing else on this connection.
-pub(super) async fn write_by(
+pub(super) async fn write_before(
     stream: &Async<TcpStream>,
     mut frame: &[u8],
-    by: Micros,
+    write_deadline: Micros,
     clock: &Clock,
 ) -> io::Result<()> {
     while !frame.is_empty() {
@@ -490,13 +494,13 @@
             Ok(n) => frame = &frame[n..],
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                let left = by.saturating_sub(clock.now());
-                if by == Micros::MAX {
+                let left = write_deadline.saturating_sub(clock.now());
+                if write_deadline == Micros::MAX {
                     stream.writable().await?;
                 } else {
                     limited(span(left), stream.writable()).await?;
                 }
-                if clock.now() >= by {
+                if clock.now() >= write_deadline {
                     return Err(io::ErrorKind::TimedOut.into());
                 }
             }
--- a/crates/broker/src/upstream/conns.rs
+++ b/crates/broker/src/upstream/connection_table.rs
@@ -3,7 +3,7 @@
 //! A broker may hold ten thousand connections and take two hundred turns a second: a turn looks at those alone that are
 //! due or were heard.
 
-use super::line::Line;
+use super::connection::Connection;
 use async_executor::Task;
 use plover_frames::PartId;
 use plover_model::query::AttemptId;
@@ -26,7 +26,7 @@
 pub(super) struct Server {
     pub(super) name: NodeId,
     pub(super) endpoint: Cell<Option<SocketAddr>>,
-    pub(super) conns: RefCell<BTreeSet<u64>>,
+    pub(super) connections: RefCell<BTreeSet<u64>>,
     /// How long answers take of late; 0: none has come.
     pub(super) usual: Cell<Micros>,
     /// When the newest attempt was sent that was answered.
@@ -35,8 +35,8 @@
 
 impl Server {
     pub(super) fn new(name: NodeId) -> Self {
-        let (endpoint, conns, usual, answered) = Default::default();
-        Server { name, endpoint, conns, usual, answered }
+        let (endpoint, connections, usual, answered) = Default::default();
+        Server { name, endpoint, connections, usual, answered }
     }
 
     /// An attempt that was sent then is answered.
@@ -54,9 +54,9 @@
 }
 
 /// A connection, from its dialling on.
-pub(super) struct Conn {
+pub(super) struct PooledConnection {
     pub(super) server: Rc<Server>,
-    pub(super) line: Rc<Line>,
+    pub(super) connection: Rc<Connection>,
     /// Runs the socket. Dropping it closes the socket.
     pub(super) _task: Task<()>,
     /// What is out here, the oldest first: few, and looked for by their ids on the wire.
@@ -76,7 +76,7 @@
     pub(super) retiring: bool,
 }
 
-impl Conn {
+impl PooledConnection {
     /// The attempt at this part that is out here.
     pub(super) fn attempt(&self, part: &PartId) -> Option<AttemptId> {
         self.out.iter().find(|(id, _)| id == part).map(|(_, attempt)| *attempt)
@@ -112,10 +112,10 @@
     dial: Option<Micros>,
 }
 
-/// All connections. Each is changed through [`Conns::change`], which keeps the indices.
+/// All connections. Each is changed through [`ConnectionTable::change`], which keeps the indices.
 #[derive(Default)]
-pub(super) struct Conns {
-    all: BTreeMap<u64, Conn>,
+pub(super) struct ConnectionTable {
+    all: BTreeMap<u64, PooledConnection>,
     /// Those on which nothing is out, by when they were last used.
     idle: BTreeSet<(Micros, u64)>,
     /// Those of them that retire.
@@ -128,8 +128,8 @@
     visits: Cell<u64>,
 }
 
-impl Deref for Conns {
-    type Target = BTreeMap<u64, Conn>;
+impl Deref for ConnectionTable {
+    type Target = BTreeMap<u64, PooledConnection>;
 
     fn deref(&self) -> &Self::Target {
         &self.all
@@ -143,7 +143,7 @@
     }
 }
 
-impl Conns {
+impl ConnectionTable {
     fn index(&mut self, id: u64, old: Due, new: Due) {
         if old == new {
             return;
@@ -159,21 +159,25 @@
     }
 
     /// Takes a connection.
-    pub(super) fn add(&mut self, id: u64, conn: Conn) {
+    pub(super) fn add(&mut self, id: u64, conn: PooledConnection) {
         let due = conn.due();
         self.all.insert(id, conn);
         self.index(id, Due::default(), due);
     }
 
     /// Gives one up.
-    pub(super) fn remove(&mut self, id: u64) -> Option<Conn> {
+    pub(super) fn remove(&mut self, id: u64) -> Option<PooledConnection> {
         let conn = self.all.remove(&id)?;
         self.index(id, conn.due(), Due::default());
         Some(conn)
     }
 
     /// Changes one. `None`: there is none.
-    pub(super) fn change<T>(&mut self, id: u64, change: impl FnOnce(&mut Conn) -> T) -> Option<T> {
+    pub(super) fn change<T>(
+        &mut self,
+        id: u64,
+        change: impl FnOnce(&mut PooledConnection) -> T,
+    ) -> Option<T> {
         let conn = self.all.get_mut(&id)?;
         let old = conn.due();
         let result = change(conn);
@@ -226,7 +230,7 @@
     pub(super) fn first_dialled(&self) -> Option<Micros> {
         let dialling = |id: &u64| {
             self.visits.set(self.visits.get() + 1);
-            self.all.get(id).is_some_and(|c| c.line.is_dialling())
+            self.all.get(id).is_some_and(|c| c.connection.is_dialling())
         };
         self.dials.iter().find(|(_, id)| dialling(id)).map(|(at, _)| *at)
     }
--- a/crates/broker/src/upstream/endings.rs
+++ b/crates/broker/src/upstream/endings.rs
@@ -1,8 +1,8 @@
 //! How attempts and connections end.
 
-use super::line::Item;
-use super::{Ended, Flight, HALTED, Upstream};
-use crate::inbox::LineEvent;
+use super::connection::WriteItem;
+use super::{EndedAttempt, HALTED, InFlight, Upstream};
+use crate::inbox::ConnectionEvent;
 use plover_frames::FromServer;
 use plover_model::query::{AttemptId, QueryId};
 use plover_model::server::Outcome;
@@ -15,30 +15,30 @@
 
 impl Upstream {
     /// Stops waiting for an attempt that was called off.
-    pub fn give_up(&mut self, now: Micros, attempt: AttemptId) {
+    pub fn cancel(&mut self, now: Micros, attempt: AttemptId) {
         self.abandon(now, attempt, Outcome::Cancelled);
     }
 
     /// A query has ended: what has not begun to be written for it is not sent, whether or not the decisions may call it off.
-    pub fn take_back(&mut self, now: Micros, query: QueryId) {
+    pub fn withdraw_query(&mut self, now: Micros, query: QueryId) {
         let first = AttemptId { query, part: 0, attempt: 0 };
-        let of_it = self.flights.range(first..).take_while(|(attempt, _)| attempt.query == query);
+        let of_it = self.in_flight.range(first..).take_while(|(attempt, _)| attempt.query == query);
         let of_it: Vec<(AttemptId, u64)> = of_it.map(|(attempt, f)| (*attempt, f.conn)).collect();
         for (attempt, conn) in of_it {
-            if self.conns.get(&conn).is_some_and(|c| c.line.withdraw(attempt)) {
+            if self.connections.get(&conn).is_some_and(|c| c.connection.withdraw(attempt)) {
                 self.end(now, attempt, Outcome::NotSent, None, None);
             }
         }
     }
 
     pub(super) fn abandon(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
-        let Some(flight) = self.flights.get(&attempt) else { return };
+        let Some(flight) = self.in_flight.get(&attempt) else { return };
         let (id, sent) = (flight.conn, flight.sent);
-        let unsent = self.conns.get(&id).is_some_and(|c| c.line.withdraw(attempt));
+        let unsent = self.connections.get(&id).is_some_and(|c| c.connection.withdraw(attempt));
         let (most, dial) = (self.limits.multiplex, self.limits.dial_timeout);
         let mut stuck = false;
         if !unsent {
-            let staged = self.conns.change(id, |conn| {
+            let staged = self.connections.change(id, |conn| {
                 let out = conn.out.iter().find(|(_, other)| *other == attempt);
                 let Some(part) = out.map(|(part, _)| part.clone()) else { return false };
                 if conn.given_up.len() >= most {
@@ -49,10 +49,10 @@
                 let cut = now - sent >= SILENT_DIALS * dial;
                 let halted = conn.begun.is_some_and(|at| now.saturating_sub(at) >= HALTED);
                 conn.retiring |= (conn.heard <= sent && (late || cut)) || halted;
-                stuck = conn.line.is_stuck();
+                stuck = conn.connection.is_stuck();
                 // Where it closes with that, its closing says so.
                 let closes = conn.retiring && conn.out.len() == 1;
-                !closes && conn.line.stage(Item::GiveUp(part))
+                !closes && conn.connection.stage(WriteItem::Cancel(part))
             });
             if staged == Some(true) {
                 self.staged.push(id);
@@ -77,38 +77,38 @@
         load: Option<f64>,
         value: Option<String>,
     ) {
-        let Some(flight) = self.flights.remove(&attempt) else { return };
-        self.deadlines.remove(&(flight.until, attempt));
-        self.conns.change(flight.conn, |conn| {
+        let Some(flight) = self.in_flight.remove(&attempt) else { return };
+        self.deadlines.remove(&(flight.deadline, attempt));
+        self.connections.change(flight.conn, |conn| {
             conn.remove(attempt);
             conn.used = now;
         });
-        let (elapsed, connected) = match outcome {
-            Outcome::Served => (self.served_in(now, &flight), self.connected(&flight)),
+        let (elapsed, connected_at) = match outcome {
+            Outcome::Served => (self.served_in(now, &flight), self.connected_at(&flight)),
             _ => (now.saturating_sub(flight.sent), None),
         };
-        self.ended.push(Ended { attempt, outcome, elapsed, load, connected, value });
+        self.ended.push(EndedAttempt { attempt, outcome, elapsed, load, connected_at, value });
     }
 
     /// How long the server of an attempt had it. The time until its connection was up tells nothing of how fast its server
     /// works: hundreds of connections of a first wide query come up one after another.
-    fn served_in(&self, now: Micros, flight: &Flight) -> Micros {
-        now.saturating_sub(flight.sent.max(self.connected(flight).unwrap_or(0)))
+    fn served_in(&self, now: Micros, flight: &InFlight) -> Micros {
+        now.saturating_sub(flight.sent.max(self.connected_at(flight).unwrap_or(0)))
     }
 
     /// Since when the connection of an attempt is up.
-    fn connected(&self, flight: &Flight) -> Option<Micros> {
-        let up_at = self.conns.get(&flight.conn)?.line.up_at();
+    fn connected_at(&self, flight: &InFlight) -> Option<Micros> {
+        let up_at = self.connections.get(&flight.conn)?.connection.up_at();
         (up_at > 0).then_some(up_at)
     }
 
     /// Takes news of a connection.
-    pub fn hear(&mut self, now: Micros, id: u64, event: LineEvent) {
-        if let LineEvent::Late = event {
+    pub fn handle_event(&mut self, now: Micros, id: u64, event: ConnectionEvent) {
+        if let ConnectionEvent::Expired = event {
             return self.take_late(now, id);
         }
-        let begun = matches!(event, LineEvent::Begun).then_some(now);
-        let heard = self.conns.change(id, |conn| {
+        let begun = matches!(event, ConnectionEvent::PartialFrame).then_some(now);
+        let heard = self.connections.change(id, |conn| {
             conn.heard = now;
             let surplus = begun.is_some() && conn.out.is_empty() && conn.given_up.is_empty();
             conn.begun = begun.filter(|_| !surplus);
@@ -116,24 +116,24 @@
         });
         let Some(surplus) = heard else { return };
         match event {
-            LineEvent::Frame(FromServer::Answer { id: part, outcome, held, value }) => {
+            ConnectionEvent::Frame(FromServer::Answer { id: part, outcome, held, value }) => {
                 self.take_answer(now, id, &part, outcome, held, value);
             }
-            LineEvent::Begun if surplus => self.spoil(now, id, "nothing is out"),
-            LineEvent::Begun | LineEvent::Late => {}
-            LineEvent::Frame(FromServer::Rejected(words)) => {
-                if let Some(conn) = self.conns.get(&id) {
+            ConnectionEvent::PartialFrame if surplus => self.spoil(now, id, "nothing is out"),
+            ConnectionEvent::PartialFrame | ConnectionEvent::Expired => {}
+            ConnectionEvent::Frame(FromServer::Rejected(words)) => {
+                if let Some(conn) = self.connections.get(&id) {
                     warn!(name: "upstream_rejected", server = %conn.server.name.0, words);
                 }
             }
-            LineEvent::Down(error) => {
-                if let Some(conn) = self.conns.get(&id).filter(|c| !c.out.is_empty()) {
+            ConnectionEvent::Closed(error) => {
+                if let Some(conn) = self.connections.get(&id).filter(|c| !c.out.is_empty()) {
                     let out = conn.out.len();
                     warn!(name: "upstream_down", server = %conn.server.name.0, error = %error, out);
                 }
                 self.lose(now, id);
             }
-            LineEvent::Bad(bad) => self.spoil(now, id, bad.0),
+            ConnectionEvent::BadFrame(bad) => self.spoil(now, id, bad.0),
         }
     }
 
@@ -146,9 +146,9 @@
         held: Option<f64>,
         value: String,
     ) {
-        let Some(conn) = self.conns.get(&id) else { return };
+        let Some(conn) = self.connections.get(&id) else { return };
         if let Some(attempt) = conn.answered(part) {
-            if let Some(f) = self.flights.get(&attempt) {
+            if let Some(f) = self.in_flight.get(&attempt) {
                 conn.server.hear(f.sent, self.served_in(now, f));
             }
             let value = (outcome == Outcome::Served).then_some(value);
@@ -157,16 +157,16 @@
         // One that was given up may still be answered: that is no longer asked for. Any other answer is
         // one in the place of what was asked for, which will not come.
         match conn.given_up.iter().position(|given_up| given_up.is(part)) {
-            Some(place) => _ = self.conns.change(id, |conn| conn.given_up.remove(place)),
+            Some(place) => _ = self.connections.change(id, |conn| conn.given_up.remove(place)),
             None => self.spoil(now, id, "its id is not out"),
         }
     }
 
     /// What was to be written by a moment that has passed was not: it never ran. One whose own time is over ends with that.
     fn take_late(&mut self, now: Micros, id: u64) {
-        let Some(conn) = self.conns.get(&id) else { return };
-        for attempt in conn.line.late() {
-            if self.flights.get(&attempt).is_some_and(|f| f.until > now) {
+        let Some(conn) = self.connections.get(&id) else { return };
+        for attempt in conn.connection.late() {
+            if self.in_flight.get(&attempt).is_some_and(|f| f.deadline > now) {
                 self.abandon(now, attempt, Outcome::NotSent);
             }
         }
@@ -177,11 +177,11 @@
     /// attempt counts as an error, which may have run; those beside it may have run too, but tell nothing of
     /// their server, which has failed but once, nor of their query, which does not bring down servers.
     pub(super) fn spoil(&mut self, now: Micros, id: u64, error: &str) {
-        let Some(conn) = self.conns.get(&id) else { return };
+        let Some(conn) = self.connections.get(&id) else { return };
         warn!(name: "upstream_bad_frame", server = %conn.server.name.0, error, out = conn.out.len());
-        let unwritten = conn.line.unwritten();
+        let unwritten = conn.connection.unwritten();
         let mut out: Vec<AttemptId> = conn.out.iter().map(|(_, attempt)| *attempt).collect();
-        out.sort_by_key(|attempt| (self.flights.get(attempt).map(|f| f.sent), *attempt));
+        out.sort_by_key(|attempt| (self.in_flight.get(attempt).map(|f| f.sent), *attempt));
         let mut blamed = false;
         for attempt in out {
             let outcome = if unwritten.contains(&attempt) {
@@ -200,8 +200,8 @@
     /// byte never ran; any other may have. What waited behind a connection that had come up tells nothing of
     /// whether the server can be reached.
     fn lose(&mut self, now: Micros, id: u64) {
-        let Some(conn) = self.conns.get(&id) else { return };
-        let (unwritten, was_up) = (conn.line.unwritten(), conn.line.was_up());
+        let Some(conn) = self.connections.get(&id) else { return };
+        let (unwritten, was_up) = (conn.connection.unwritten(), conn.connection.was_up());
         let lives = conn.server.answered.get() > conn.dialled;
         for (_, attempt) in conn.out.clone() {
             let outcome = match unwritten.contains(&attempt) {
@@ -216,9 +216,9 @@
 
     /// Lets a connection finish what is out on it, and takes back what it has not begun to write.
     pub(super) fn retire(&mut self, now: Micros, id: u64) {
-        let taken = self.conns.change(id, |conn| {
+        let taken = self.connections.change(id, |conn| {
             conn.retiring = true;
-            conn.line.withdraw_all()
+            conn.connection.withdraw_all()
         });
         for attempt in taken.into_iter().flatten() {
             self.end(now, attempt, Outcome::NotSent, None, None);
@@ -227,10 +227,10 @@
 
     /// The one place where a connection is given back.
     pub(super) fn close(&mut self, id: u64) {
-        let Some(conn) = self.conns.remove(id) else { return };
+        let Some(conn) = self.connections.remove(id) else { return };
         self.sockets.remove(id);
-        conn.line.shut();
-        conn.server.conns.borrow_mut().remove(&id);
+        conn.connection.shut();
+        conn.server.connections.borrow_mut().remove(&id);
         self.forget(&conn.server);
     }
 }
--- a/crates/broker/src/upstream/mod.rs
+++ b/crates/broker/src/upstream/mod.rs
@@ -1,22 +1,22 @@
 //! Data servers: one pool of connections for each, and the attempts that are out on them.
 //!
-//! The pool owns each attempt from its dispatch to its one [`Ended`], and each connection from its dialling to
+//! The pool owns each attempt from its dispatch to its one [`EndedAttempt`], and each connection from its dialling to
 //! the drop of its task and its socket. What its sockets brought comes through the inbox; the pool acts on it in a turn.
-//! `placing` says which connection a call goes by, `endings` how attempts and connections end; `conns` holds the
+//! `placing` says which connection a call goes by, `endings` how attempts and connections end; `connections` holds the
 //! connections by what is due, `line` and `sockets` read and write.
 
-mod conns;
+mod assignment;
+mod connection;
+mod connection_table;
 mod endings;
-mod line;
-mod placing;
 mod sockets;
 
 use crate::inbox::{Inbox, Presence};
+pub use assignment::ConnectionChoice;
+use assignment::LATE_DIAL;
 use async_executor::{LocalExecutor, Task};
-use conns::{Conns, Server};
-use line::{Item, Outgoing};
-use placing::LATE_DIAL;
-pub use placing::Way;
+use connection::{QueuedPart, WriteItem};
+use connection_table::{ConnectionTable, Server};
 use plover_frames::PartId;
 use plover_model::limits::PoolLimits;
 use plover_model::query::AttemptId;
@@ -37,15 +37,15 @@
 
 /// An attempt to send, with all that goes into its frame.
 #[derive(Clone, Debug)]
-pub struct Send {
+pub struct DispatchedAttempt {
     /// The attempt.
     pub attempt: AttemptId,
     /// Where to.
     pub server: NodeId,
     /// When to stop waiting.
-    pub until: Micros,
+    pub deadline: Micros,
     /// Its frame's last byte is written before this moment, or the part is not sent.
-    pub by: Micros,
+    pub write_deadline: Micros,
     /// The part's id on the wire, with its shard.
     pub part: PartId,
     /// The idempotency key, in a keyed class.
@@ -58,7 +58,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
+pub struct EndedAttempt {
     /// The attempt.
     pub attempt: AttemptId,
     /// How.
@@ -68,15 +68,15 @@
     /// How much the server said it holds.
     pub load: Option<f64>,
     /// Of one that was served: since when the connection is up that brought the answer.
-    pub connected: Option<Micros>,
+    pub connected_at: Option<Micros>,
     /// The value, if it was served.
     pub value: Option<String>,
 }
 
-struct Flight {
+struct InFlight {
     conn: u64,
     sent: Micros,
-    until: Micros,
+    deadline: Micros,
 }
 
 /// The pools of all data servers.
@@ -86,11 +86,11 @@
     clock: Clock,
     limits: PoolLimits,
     servers: BTreeMap<NodeId, Rc<Server>>,
-    conns: Conns,
-    next_conn: u64,
-    flights: BTreeMap<AttemptId, Flight>,
+    connections: ConnectionTable,
+    next_connection: u64,
+    in_flight: BTreeMap<AttemptId, InFlight>,
     deadlines: BTreeSet<(Micros, AttemptId)>,
-    ended: Vec<Ended>,
+    ended: Vec<EndedAttempt>,
     sockets: Rc<Sockets>,
     /// Connections that have something staged, in the order in which that is to be written.
     staged: Vec<u64>,
@@ -114,9 +114,9 @@
             clock,
             limits,
             servers: BTreeMap::new(),
-            conns: Conns::default(),
-            next_conn: 0,
-            flights: BTreeMap::new(),
+            connections: ConnectionTable::default(),
+            next_connection: 0,
+            in_flight: BTreeMap::new(),
             deadlines: BTreeSet::new(),
             ended: Vec::new(),
             sockets,
@@ -126,13 +126,13 @@
     }
 
     /// Connections that were dialled since the start.
-    pub fn dialled(&self) -> u64 {
-        self.next_conn
+    pub fn dial_count(&self) -> u64 {
+        self.next_connection
     }
 
     /// Whether some of them have not come up yet.
     pub fn is_dialling(&self) -> bool {
-        self.conns.first_dialled().is_some()
+        self.connections.first_dialled().is_some()
     }
 
     /// Other limits, for what is dialled and sent from now on; descriptors stay what they are.
@@ -141,37 +141,37 @@
     }
 
     /// So many descriptors at the most from now on. Beyond that idle connections end at once, and others as they fall idle.
-    pub fn set_room(&mut self, sockets: usize) {
+    pub fn set_capacity(&mut self, sockets: usize) {
         self.limits.sockets = sockets;
-        while self.conns.len() > sockets && self.evict() {}
+        while self.connections.len() > sockets && self.evict_idle() {}
     }
 
     /// Descriptors that connections may have in all, and those that no connection has.
-    pub fn room(&self) -> (usize, usize) {
-        (self.limits.sockets, self.limits.sockets.saturating_sub(self.conns.len()))
+    pub fn capacity(&self) -> (usize, usize) {
+        (self.limits.sockets, self.limits.sockets.saturating_sub(self.connections.len()))
     }
 
     /// Data servers that are known here.
-    pub fn known(&self) -> usize {
+    pub fn server_count(&self) -> usize {
         self.servers.len()
     }
 
     /// Takes where a server is to be called; `None`: it wants nothing new, or is gone. What waits unsent for
     /// one that left or moved is taken back.
-    pub fn learn(&mut self, now: Micros, name: NodeId, endpoint: Option<SocketAddr>) {
+    pub fn set_endpoint(&mut self, now: Micros, name: NodeId, endpoint: Option<SocketAddr>) {
         let server = self.servers.entry(name).or_insert_with_key(|name| Rc::new(Server::new(name.clone())));
         let server = server.clone();
         let old = server.endpoint.replace(endpoint);
         if old.is_some_and(|old| Some(old) != endpoint) {
-            let conns = server.conns.borrow().clone();
-            conns.into_iter().for_each(|id| self.retire(now, id));
+            let connections = server.connections.borrow().clone();
+            connections.into_iter().for_each(|id| self.retire(now, id));
         }
         self.forget(&server);
     }
 
     /// Forgets a server that is not to be called and has no connections.
     fn forget(&mut self, server: &Server) {
-        if server.endpoint.get().is_none() && server.conns.borrow().is_empty() {
+        if server.endpoint.get().is_none() && server.connections.borrow().is_empty() {
             self.servers.remove(&server.name);
         }
     }
@@ -183,7 +183,7 @@
     }
 
     /// Sends the attempts of one turn: those to one server share calls.
-    pub fn dispatch(&mut self, now: Micros, mut sends: Vec<Send>) {
+    pub fn dispatch(&mut self, now: Micros, mut sends: Vec<DispatchedAttempt>) {
         sends.sort_by(|a, b| a.server.cmp(&b.server));
         let batch = self.limits.batch.max(1);
         let mut sends = sends.into_iter().peekable();
@@ -203,39 +203,39 @@
     /// Writes what the turn has staged. What was given up stands before what is sent anew: a further attempt at a part
     /// must not go out before the giving up of the first, or before the end of its connection where that is given up too.
     fn flush(&mut self) {
-        for id in self.conns.done() {
+        for id in self.connections.done() {
             self.close(id);
         }
         let staged = std::mem::take(&mut self.staged);
-        let lines = staged.iter().filter_map(|id| Some((*id, &self.conns.get(id)?.line)));
+        let lines = staged.iter().filter_map(|id| Some((*id, &self.connections.get(id)?.connection)));
         self.sockets.flush(lines, &self.clock);
     }
 
-    fn call(&mut self, now: Micros, name: &NodeId, parts: Vec<Outgoing>) {
+    fn call(&mut self, now: Micros, name: &NodeId, parts: Vec<QueuedPart>) {
         let server = self.servers.get(name).cloned();
-        let id = server.and_then(|server| self.conn_for(now, &server, &parts));
+        let id = server.and_then(|server| self.connection_for(now, &server, &parts));
         let Some(id) = id else {
             // For want of a descriptor: that says nothing of the server.
             let known = self.servers.get(name).is_some_and(|s| s.endpoint.get().is_some());
             let outcome = if known { Outcome::NotSent } else { Outcome::NoConnection };
-            let never = |part: Outgoing| Ended {
+            let never = |part: QueuedPart| EndedAttempt {
                 attempt: part.attempt,
                 outcome,
                 elapsed: 0,
                 load: None,
-                connected: None,
+                connected_at: None,
                 value: None,
             };
             return self.ended.extend(parts.into_iter().map(never));
         };
         for part in &parts {
-            self.deadlines.insert((part.until, part.attempt));
-            self.flights.insert(part.attempt, Flight { conn: id, sent: now, until: part.until });
+            self.deadlines.insert((part.deadline, part.attempt));
+            self.in_flight.insert(part.attempt, InFlight { conn: id, sent: now, deadline: part.deadline });
         }
-        let staged = self.conns.change(id, |conn| {
+        let staged = self.connections.change(id, |conn| {
             conn.used = now;
             conn.out.extend(parts.iter().map(|part| (part.id.clone(), part.attempt)));
-            conn.line.stage(Item::Call(parts))
+            conn.connection.stage(WriteItem::Call(parts))
         });
         if staged == Some(true) {
             self.staged.push(id);
@@ -246,11 +246,11 @@
     pub fn sweep(&mut self, now: Micros) {
         self.pass_late(now);
         let idle = self.limits.keepalive * IDLE_SHARE.0 / IDLE_SHARE.1;
-        let idle = now.checked_sub(idle).map(|since| self.conns.idle_since(since));
-        for id in idle.into_iter().flatten().chain(self.conns.done()) {
+        let idle = now.checked_sub(idle).map(|since| self.connections.idle_since(since));
+        for id in idle.into_iter().flatten().chain(self.connections.done()) {
             self.close(id);
         }
-        let stalled = now.checked_sub(self.limits.dial_timeout).map(|since| self.conns.stalled(since));
+        let stalled = now.checked_sub(self.limits.dial_timeout).map(|since| self.connections.stalled(since));
         for id in stalled.into_iter().flatten() {
             self.spoil(now, id, "its end does not come");
         }
@@ -259,16 +259,16 @@
     /// Takes the attempts that have ended, those included whose time is over by now. A turn begins with this:
     /// the module ends a query at the moment at which its attempts time out, and would else call them off first,
     /// so that no time-out ever reached it and silent servers went unnoticed.
-    pub fn take_ended(&mut self, now: Micros) -> Vec<Ended> {
-        while let Some(&(_, attempt)) = self.deadlines.first().filter(|(until, _)| *until <= now) {
+    pub fn take_ended(&mut self, now: Micros) -> Vec<EndedAttempt> {
+        while let Some(&(_, attempt)) = self.deadlines.first().filter(|(deadline, _)| *deadline <= now) {
             self.abandon(now, attempt, Outcome::TimedOut);
         }
         std::mem::take(&mut self.ended)
     }
 
     /// Attempts that are out.
-    pub fn out(&self) -> usize {
-        self.flights.len()
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.len()
     }
 
     /// Attempts written whole to data servers since the start.
@@ -283,34 +283,34 @@
 
     /// When the next attempt's time is over, or the next frame is late that has begun.
     pub fn due(&self) -> Micros {
-        let deadline = self.deadlines.first().map(|(until, _)| *until);
-        let stall = self.conns.first_begun().map(|at| at + self.limits.dial_timeout);
-        let late = self.conns.first_dialled().map(|at| at + self.limits.dial_timeout / LATE_DIAL);
+        let deadline = self.deadlines.first().map(|(deadline, _)| *deadline);
+        let stall = self.connections.first_begun().map(|at| at + self.limits.dial_timeout);
+        let late = self.connections.first_dialled().map(|at| at + self.limits.dial_timeout / LATE_DIAL);
         [deadline, stall, late].into_iter().flatten().min().unwrap_or(Micros::MAX)
     }
 
     /// Open connections.
     pub fn open(&self) -> usize {
-        self.conns.len()
+        self.connections.len()
     }
 
     /// Those of them on which nothing is out.
     pub fn idle(&self) -> usize {
-        self.conns.idle()
+        self.connections.idle()
     }
 
     /// Leaves what comes in the system's hands, or takes it from there again: so long as no turn may begin, reading at each
     /// answer costs more looks than reading once before the turn.
-    pub fn hold(&self, hold: bool) {
+    pub fn pause_reads(&self, hold: bool) {
         self.sockets.hold(hold);
     }
 }
 
 /// A part as its connection takes it.
-fn outgoing(now: Micros, send: Send) -> Outgoing {
-    let wait_ms = (send.until.saturating_sub(now) / MILLI).max(1);
-    let Send { attempt, until, by, part, key, text, client, .. } = send;
-    Outgoing { attempt, id: part, wait_ms, by, until, key, text, client }
+fn outgoing(now: Micros, send: DispatchedAttempt) -> QueuedPart {
+    let wait_ms = (send.deadline.saturating_sub(now) / MILLI).max(1);
+    let DispatchedAttempt { attempt, deadline, write_deadline, part, key, text, client, .. } = send;
+    QueuedPart { attempt, id: part, wait_ms, write_deadline, deadline, key, text, client }
 }
 
 #[cfg(test)]
--- a/crates/broker/src/upstream/sockets.rs
+++ b/crates/broker/src/upstream/sockets.rs
@@ -4,8 +4,8 @@
 //! for each of them cost more than its bytes do, so that one task waits for all sockets together, and a turn writes
 //! by itself to those that take it. A connection's own task dials, and writes what waited or what its socket does not take.
 
-use super::line::Line;
-use crate::inbox::{Inbox, Input, LineEvent};
+use super::connection::Connection;
+use crate::inbox::{ConnectionEvent, Inbox, Input};
 use async_io::{Async, Timer};
 use futures_lite::future::yield_now;
 use plover_runtime::clock::Clock;
@@ -50,7 +50,7 @@
 pub(super) struct Sockets {
     /// Level-triggered: what is not read shows again.
     queue: Async<OwnedFd>,
-    lines: RefCell<BTreeMap<u64, Rc<Line>>>,
+    lines: RefCell<BTreeMap<u64, Rc<Connection>>>,
     inbox: Rc<Inbox>,
     pub(super) counts: Rc<Counts>,
     /// For one read, one write and one look, of which none lasts.
@@ -80,7 +80,7 @@
     }
 
     /// Takes a connection that has come up.
-    pub(super) fn add(&self, id: u64, line: &Rc<Line>) -> io::Result<()> {
+    pub(super) fn add(&self, id: u64, line: &Rc<Connection>) -> io::Result<()> {
         let Some(socket) = line.socket() else { return Ok(()) };
         epoll::add(&self.queue, &*socket, EventData::new_u64(id), EventFlags::IN | EventFlags::RDHUP)?;
         self.lines.borrow_mut().insert(id, line.clone());
@@ -97,21 +97,21 @@
     }
 
     /// A connection has ended: nothing more is read or written.
-    pub(super) fn end(&self, id: u64, line: &Line, how: LineEvent) {
+    pub(super) fn end(&self, id: u64, line: &Connection, how: ConnectionEvent) {
         if line.set_ended() {
             self.remove(id);
-            self.inbox.put(Input::Line(id, how));
+            self.inbox.put(Input::Connection(id, how));
         }
     }
 
     /// Reads what a connection has, once.
-    pub(super) fn read(&self, id: u64, line: &Line) {
+    pub(super) fn read(&self, id: u64, line: &Connection) {
         if line.has_ended() {
             return;
         }
         count(&self.counts.reads);
         let mut chunk = self.chunk.borrow_mut();
-        if let Some(end) = line.read(&mut chunk, |event| self.inbox.put(Input::Line(id, event))) {
+        if let Some(end) = line.read(&mut chunk, |event| self.inbox.put(Input::Connection(id, event))) {
             self.end(id, line, end);
         }
     }
@@ -170,7 +170,11 @@
     /// Writes what a turn has staged on these connections, in their order. What has come is read before anything is written:
     /// a frame on a connection that its server has just closed, or spoilt, may have run as far as anybody knows, and answers
     /// that are in would be lost with a failed write.
-    pub(super) fn flush<'a>(&self, lines: impl IntoIterator<Item = (u64, &'a Rc<Line>)>, clock: &Clock) {
+    pub(super) fn flush<'a>(
+        &self,
+        lines: impl IntoIterator<Item = (u64, &'a Rc<Connection>)>,
+        clock: &Clock,
+    ) {
         let mut lines = lines.into_iter().peekable();
         if lines.peek().is_none() {
             return;
@@ -180,10 +184,10 @@
         for (id, line) in lines {
             let written = line.flush(clock, &mut out);
             if line.has_late() {
-                self.inbox.put(Input::Line(id, LineEvent::Late));
+                self.inbox.put(Input::Connection(id, ConnectionEvent::Expired));
             }
             if let Err(error) = written {
-                self.end(id, line, LineEvent::Down(error));
+                self.end(id, line, ConnectionEvent::Closed(error));
             }
         }
     }
--- a/crates/broker/src/upstream/tests/counts.rs
+++ b/crates/broker/src/upstream/tests/counts.rs
@@ -9,7 +9,7 @@
     let (mut pool, listener) =
         pool(PoolLimits { sockets: connections, dial_timeout: 30 * SECOND, ..limits() });
     let address = listener.local_addr().unwrap();
-    (0..connections).for_each(|n| pool.learn(0, name(n), Some(address)));
+    (0..connections).for_each(|n| pool.set_endpoint(0, name(n), Some(address)));
     let mut servers = Vec::new();
     // The listener's queue holds 128.
     for chunk in (0..connections).collect::<Vec<_>>().chunks(64) {
@@ -18,7 +18,7 @@
         servers.extend(chunk.iter().map(|_| listener.accept().unwrap().0));
     }
     for id in 0..connections as u64 {
-        pool.hear(10, id, answer(&format!("q1.{id}")));
+        pool.handle_event(10, id, answer(&format!("q1.{id}")));
     }
     assert_eq!(
         (pool.take_ended(10).len(), pool.open(), pool.idle()),
@@ -37,10 +37,10 @@
     NodeId(format!("s{n:04}").into())
 }
 
-fn part(query: u64, n: usize) -> Send {
+fn part(query: u64, n: usize) -> DispatchedAttempt {
     let attempt = AttemptId { query, part: n, attempt: 0 };
     let part = PartId { request: format!("q{query}").into(), shard: n };
-    Send { attempt, part, server: name(n), ..sends(query, 1).remove(0) }
+    DispatchedAttempt { attempt, part, server: name(n), ..sends(query, 1).remove(0) }
 }
 
 fn calls(pool: &Upstream) -> [u64; 3] {
@@ -61,20 +61,20 @@
         let (mut pool, _servers) = idle_ones(connections);
         pool.limits.dial_timeout = SECOND / 4;
         pool.sweep(SECOND);
-        let before = pool.conns.visits();
+        let before = pool.connections.visits();
         for turn in 0..100 {
             pool.sweep(SECOND + turn);
             pool.due();
         }
-        let nothing_due = pool.conns.visits() - before;
+        let nothing_due = pool.connections.visits() - before;
         // What is due is looked at: of these, three frames that have stopped.
         for id in 0..3 {
             pool.dispatch(SECOND, vec![part(2, id as usize)]);
-            pool.hear(SECOND, id, LineEvent::Begun);
+            pool.handle_event(SECOND, id, ConnectionEvent::PartialFrame);
         }
         pool.sweep(SECOND + pool.limits.dial_timeout);
         assert_eq!(pool.open(), connections - 3);
-        (nothing_due, pool.conns.visits() - before)
+        (nothing_due, pool.connections.visits() - before)
     });
     assert_eq!(visits, [(0, 3); 2]);
 }
@@ -87,7 +87,7 @@
     pool.dispatch(20, vec![part(2, 0)]);
     assert_eq!(heard(&mut servers[0]), "....mq2.0 0 d=980 8\nc41e77d0".len());
     let before = calls(&pool);
-    pool.give_up(30, AttemptId { query: 2, part: 0, attempt: 0 });
+    pool.cancel(30, AttemptId { query: 2, part: 0, attempt: 0 });
     pool.dispatch(30, vec![part(3, 0), part(4, 0), part(5, 0)]);
     assert_eq!(since(&pool, before), [1, 0, 1]);
     let mut input = [0; 4096];
@@ -123,8 +123,8 @@
     while answers < parts {
         async_io::block_on(executor.run(yield_now()));
         for input in inbox.take() {
-            let Input::Line(id, event) = input else { panic!("a line's news") };
-            pool.hear(30, id, event);
+            let Input::Connection(id, event) = input else { panic!("a line's news") };
+            pool.handle_event(30, id, event);
             answers += 1;
         }
     }
@@ -141,7 +141,7 @@
     let (mut pool, mut servers) = idle_ones(20);
     pool.dispatch(20, (0..20).map(|n| part(2, n)).collect());
     let (executor, inbox) = (pool.executor.clone(), pool.inbox.clone());
-    pool.hold(true);
+    pool.pause_reads(true);
     let before = calls(&pool);
     for server in &mut servers {
         assert!(heard(server) > 0);
@@ -151,7 +151,7 @@
     let while_held = async_io::Timer::after(std::time::Duration::from_millis(50));
     async_io::block_on(executor.run(while_held));
     assert_eq!((since(&pool, before), inbox.take().len()), ([0; 3], 0));
-    pool.hold(false);
+    pool.pause_reads(false);
     assert_eq!((since(&pool, before), inbox.take().len()), ([0, 20, 1], 20));
     // And whatever comes later is read as it comes.
     servers[7].write_all(b"\0\0\0\x05rbad!").unwrap();
@@ -166,7 +166,8 @@
     let (parts, length) = (40, 16 * 1024);
     let (mut pool, _servers) = idle_ones(parts);
     let text: Rc<str> = "x".repeat(length).into();
-    let sends: Vec<Send> = (0..parts).map(|n| Send { text: text.clone(), ..part(2, n) }).collect();
+    let sends: Vec<DispatchedAttempt> =
+        (0..parts).map(|n| DispatchedAttempt { text: text.clone(), ..part(2, n) }).collect();
     let taken = allocation_counter::measure(|| pool.dispatch(20, sends));
     assert_eq!(pool.forwards(), 2 * parts as u64);
     // The buffer grows by doubling, once.
@@ -178,23 +179,23 @@
 fn a_part_whose_moment_has_passed_is_not_written_by_the_turn() {
     let (mut pool, _servers) = idle_ones(1);
     pool.limits.batch = 2;
-    let late = Send { by: 0, ..part(2, 0) };
+    let late = DispatchedAttempt { write_deadline: 0, ..part(2, 0) };
     let before = calls(&pool);
     pool.dispatch(20, vec![late.clone()]);
     assert_eq!(since(&pool, before)[0], 0);
     pool.dispatch(
         20,
         vec![
-            Send { part: PartId { shard: 1, ..late.part.clone() }, ..part(3, 0) },
-            Send { by: 0, ..part(4, 0) },
+            DispatchedAttempt { part: PartId { shard: 1, ..late.part.clone() }, ..part(3, 0) },
+            DispatchedAttempt { write_deadline: 0, ..part(4, 0) },
         ],
     );
     assert_eq!((since(&pool, before)[0], pool.forwards()), (1, 2));
     for input in pool.inbox.take() {
-        let Input::Line(0, event) = input else { panic!("a line's news") };
-        pool.hear(30, 0, event);
+        let Input::Connection(0, event) = input else { panic!("a line's news") };
+        pool.handle_event(30, 0, event);
     }
-    assert_eq!((outcomes(&mut pool, 30), pool.out()), (vec![Outcome::NotSent; 2], 1));
+    assert_eq!((outcomes(&mut pool, 30), pool.in_flight()), (vec![Outcome::NotSent; 2], 1));
 }
 
 /// A giving up that would go out on a connection that ends with it is not written: its end says as much, and comes before
@@ -206,9 +207,12 @@
     assert!(heard(&mut servers[0]) > 0);
     let before = calls(&pool);
     let later = 20 + 2 * pool.limits.dial_timeout;
-    pool.give_up(later, AttemptId { query: 2, part: 0, attempt: 0 });
+    pool.cancel(later, AttemptId { query: 2, part: 0, attempt: 0 });
     let again = AttemptId { query: 2, part: 0, attempt: 1 };
-    pool.dispatch(later, vec![Send { attempt: again, until: 2 * later, server: name(1), ..part(2, 0) }]);
+    pool.dispatch(
+        later,
+        vec![DispatchedAttempt { attempt: again, deadline: 2 * later, server: name(1), ..part(2, 0) }],
+    );
     assert_eq!((since(&pool, before)[0], pool.open()), (1, 1));
     assert!(heard(&mut servers[1]) > 0);
     assert_eq!(heard(&mut servers[0]), 0, "its end, and nothing before it");
@@ -220,21 +224,21 @@
     let (mut pool, mut servers) = idle_ones(1);
     servers[0].write_all(b"\0\0\0\x02zz").unwrap();
     let mut byte = [0; 1];
-    let socket = pool.conns[&0].line.socket().unwrap();
+    let socket = pool.connections[&0].connection.socket().unwrap();
     while socket.get_ref().peek(&mut byte).is_err() {
         std::thread::yield_now();
     }
-    pool.conns[&0].line.put(Item::Call(vec![outgoing(20, part(2, 0))]));
+    pool.connections[&0].connection.put(WriteItem::Call(vec![outgoing(20, part(2, 0))]));
     let (executor, inbox) = (pool.executor.clone(), pool.inbox.clone());
     let event = loop {
         block_on(executor.run(yield_now()));
-        if let Some(Input::Line(0, event)) = inbox.take().pop() {
+        if let Some(Input::Connection(0, event)) = inbox.take().pop() {
             break event;
         }
     };
-    assert!(matches!(event, LineEvent::Bad(_)));
+    assert!(matches!(event, ConnectionEvent::BadFrame(_)));
     (0..10).for_each(|_| block_on(executor.run(yield_now())));
     assert_eq!(pool.forwards(), 1);
-    pool.hear(30, 0, event);
+    pool.handle_event(30, 0, event);
     assert_eq!(pool.open(), 0);
 }
