--- a/crates/brookbend/src/choice.rs
+++ b/crates/brookbend/src/choice.rs
@@ -1,15 +1,15 @@
-//! All decisions of an aggregator. The interface file is `src/api.rs`; `src/state.rs`, `src/desk.rs` and
-//! `src/fleet.rs` hold plain records; `src/due.rs` and `src/agenda.rs` tell what a turn has to look at.
+//! All decisions of an aggregator. The interface is `src/api.rs`; `src/state.rs`, `src/query_table.rs` and
+//! `src/fleet.rs` hold plain records; `src/schedule.rs` and `src/part_index.rs` tell what a turn has to visit.
 //!
 //! Read from the top: what happens in a batch, then lists, arrivals, rows and turns, the choice of a server,
 //! further attempts, replies, refusals, health, cold servers, and the width loop.
 
 use crate::api::*;
-use crate::demand::{Demand, turns_within};
-use crate::desk::Desk;
-use crate::estimates::{self, Work};
+use crate::demand::{Demand, mean_grants_within};
+use crate::estimates::{self, WorkEstimate};
 use crate::fleet::Fleet;
 use crate::own::OwnTime;
+use crate::query_table::QueryTable;
 use crate::refusals::Assessment;
 use crate::state::{Dice, Flight, Held, Learned, Piece, Server, Try, Width, never_ran, trim};
 use std::cell::Cell;
@@ -136,7 +136,7 @@
     pub(crate) now: Ms,
     pub(crate) out: Vec<Action>,
     pub(crate) fleet: Fleet,
-    pub(crate) desk: Desk,
+    pub(crate) queries: QueryTable,
     pub(crate) learned: Vec<Learned>,
     pub(crate) fleet_pace: f64,
     pub(crate) fleet_rescaled: f64,
@@ -150,15 +150,15 @@
     /// What this aggregator itself needs; nothing until its caller tells.
     pub(crate) own: OwnTime,
     /// Whether each turn looks at everything, and how much was looked at.
-    pub(crate) all: bool,
-    pub(crate) looks: Cell<u64>,
+    pub(crate) visits_all: bool,
+    pub(crate) visits: Cell<u64>,
 }
 
 impl Aggregator {
     /// An aggregator that knows only its settings. The same seed and events give the same actions.
     pub fn new(set: Settings, seed: u64) -> Self {
         let width = Width { rows: set.reach.max(1) as f64, ..Default::default() };
-        let work = Work::new(set.call_work);
+        let work = WorkEstimate::new(set.call_work);
         let served_rate = 1.0 / set.aggregators.max(1) as f64;
         let first = Learned { width, work, second: work.unit(), ..Default::default() };
         Aggregator {
@@ -166,7 +166,7 @@
             now: 0.0,
             out: Vec::new(),
             fleet: Fleet::default(),
-            desk: Desk { demand: Demand::new(set.cells), served_rate, ..Desk::default() },
+            queries: QueryTable { demand: Demand::new(set.cells), served_rate, ..QueryTable::default() },
             learned: vec![first; set.classes.len()],
             fleet_pace: FIRST_PACE,
             fleet_rescaled: FIRST_PACE,
@@ -177,8 +177,8 @@
             wake_at: f64::INFINITY,
             shortest_aim: set.shortest_aim(),
             own: OwnTime::default(),
-            all: false,
-            looks: Cell::new(0),
+            visits_all: false,
+            visits: Cell::new(0),
             set,
         }
     }
@@ -186,28 +186,28 @@
     /// Takes all events of one moment and says what to do. Sends are decided last, so that they bundle.
     pub fn on_batch(&mut self, now: Ms, events: Vec<Event>) -> Vec<Action> {
         self.now = now;
-        self.desk.stood = now > self.wake_at + PAUSE_AIM * self.shortest_aim;
+        self.queries.paused = now > self.wake_at + PAUSE_AIM * self.shortest_aim;
         self.fleet.begin_batch();
         for event in events {
             match event {
                 Event::List { kind, members } => self.hear_list(kind, members),
-                Event::Query(query) => self.take_query(query),
-                Event::Part(part) => self.take_part(part),
+                Event::Query(query) => self.add_query(query),
+                Event::Part(part) => self.add_part(part),
                 Event::Ended { part, attempt, outcome, elapsed, load } => {
                     self.ended(part, attempt, outcome, elapsed, load)
                 }
                 Event::Connected { part, attempt, since } => {
-                    if let Some(flight) = self.desk.flights.get_mut(&(part, attempt)) {
+                    if let Some(flight) = self.queries.in_flight.get_mut(&(part, attempt)) {
                         flight.connected = Some(since);
                     }
                 }
                 Event::Gone(id) => {
-                    if let Some(q) = self.desk.queries.remove(&id) {
+                    if let Some(q) = self.queries.by_id.remove(&id) {
                         self.learned[q.class].patience.note_unserved(q.asked);
                         self.forget(&id, &q);
                     }
                 }
-                Event::Unreachable(part) => self.put_out_of_reach(&part),
+                Event::Unreachable(part) => self.mark_unreachable(&part),
                 Event::Woken => self.wake_at = f64::INFINITY,
             }
         }
@@ -216,12 +216,12 @@
             self.out.push(Action::Watch);
         }
         self.each_second();
-        for id in self.due() {
-            if let Some(mut query) = self.desk.queries.remove(&id)
+        for id in self.take_due_queries() {
+            if let Some(mut query) = self.queries.by_id.remove(&id)
                 && !self.run_query(&id, &mut query)
             {
-                self.put_off(&id, &mut query);
-                self.desk.queries.insert(id, query);
+                self.schedule_next_visit(&id, &mut query);
+                self.queries.by_id.insert(id, query);
             }
         }
         self.set_wake();
@@ -230,7 +230,7 @@
 
     fn set_wake(&mut self) {
         if self.wake_at == f64::INFINITY {
-            let ticks = if self.desk.queries.is_empty() { IDLE_TICKS } else { 1.0 };
+            let ticks = if self.queries.by_id.is_empty() { IDLE_TICKS } else { 1.0 };
             let after = ticks * self.set.tick.max(1.0);
             self.out.push(Action::Wake { after });
             self.wake_at = self.now + after;
@@ -250,20 +250,20 @@
         if kind != ListKind::Disk {
             self.ask_wait = self.set.ask_within.min(self.set.cold.warm_after) * ASK.0;
         }
-        let whole = kind != ListKind::Changes || !self.fleet.has_rows(self.set.cells, self.set.reach);
+        let whole = kind != ListKind::Changes || !self.fleet.rows_match(self.set.cells, self.set.reach);
         if kind != ListKind::Changes {
             self.fleet.servers.iter_mut().for_each(|s| s.state = NodeState::Gone);
         }
         let mut concerned = BTreeSet::new();
         for m in members {
-            let server = self.fleet.member(m.node.clone(), self.fleet_pace, self.fleet_rescaled);
-            let was = self.fleet.cell(server);
+            let server = self.fleet.find_or_insert(m.node.clone(), self.fleet_pace, self.fleet_rescaled);
+            let was = self.fleet.serving_cell(server);
             self.hear_member(server, m);
             if !whole {
-                self.fleet.moved(server, was, &mut concerned);
+                self.fleet.move_server(server, was, &mut concerned);
             }
         }
-        self.make_rows((!whole).then_some(concerned));
+        self.rebuild_rows((!whole).then_some(concerned));
     }
 
     fn hear_member(&mut self, server: usize, m: Member) {
@@ -309,14 +309,14 @@
 
     /// Moves a query on. True once its final answer is given.
     fn run_query(&mut self, id: &RequestId, q: &mut Held) -> bool {
-        self.advance(q);
+        self.update_late_parts(q);
         if self.may_reply(q) && self.reply(id, q) {
             return true;
         }
         let plan = !q.planned && q.step_from < q.pieces.len();
         if plan {
             q.planned = true;
-            q.recount(&self.set, self.now);
+            q.rebuild_index(&self.set, self.now);
             if q.first_whole.is_none() && !self.admit(id, q) {
                 // Refusals bring no news: without this, one bad spell would be believed for ever.
                 self.learned[q.class].lag *= 1.0 - LAG_NEWS / 2.0;
@@ -326,7 +326,7 @@
             self.plan_rows(q);
             self.plan_reserve(q);
         }
-        self.run_pieces(q, plan);
+        self.run_parts(q, plan);
         false
     }
 
@@ -342,7 +342,7 @@
     /// from the last to the first, one turn for all parts with the same holders: on a ring the parts of
     /// neighbouring shards then meet at one server, in a set those of one cell do, and share a call.
     fn plan_rows(&mut self, q: &mut Held) {
-        let rows = q.pieces[q.step_from..].iter().map(|p| self.fleet.rows.of(p.shard).len()).max();
+        let rows = q.pieces[q.step_from..].iter().map(|p| self.fleet.rows.holders(p.shard).len()).max();
         let rows = rows.unwrap_or(0).max(1);
         let wanted = self.learned[q.class].width.rows.clamp(1.0, rows as f64);
         let width = (wanted.floor() as usize + usize::from(self.dice.random() < wanted.fract())).min(rows);
@@ -354,7 +354,7 @@
             let next = turns.len();
             let turn = *turns.entry(home).or_insert(next);
             let row = (first + width - 1 - (offset + turn) % width) % rows;
-            let holders = self.fleet.rows.of(q.pieces[i].shard);
+            let holders = self.fleet.rows.holders(q.pieces[i].shard);
             q.pieces[i].row_holder = (!holders.is_empty()).then(|| holders[row % holders.len()]);
         }
     }
@@ -387,7 +387,7 @@
     /// Time until an answer for that much more work: work out at the server's pace, the time by which its
     /// oldest attempt is overdue (older than the newest answered: lost alone), errors, a full one's wait.
     fn forecast(&self, server: usize, class: usize, work: Ms) -> Ms {
-        self.forecast_at(self.fleet.servers[server].pace.told(), server, class, work)
+        self.forecast_at(self.fleet.servers[server].pace.measured(), server, class, work)
     }
 
     fn forecast_at(&self, pace: f64, server: usize, class: usize, work: Ms) -> Ms {
@@ -397,10 +397,10 @@
         let wait = late + (s.full_until - self.now).max(0.0);
         // Not heard for an aim: its zone's silence warns of it, so that a cut is not met at each server anew.
         let unheard = s.zone.filter(|_| s.heard < self.now - self.shortest_aim);
-        let zone = unheard.and_then(|z| self.fleet.silence.get(&z)).copied().unwrap_or(0.0);
+        let zone = unheard.and_then(|z| self.fleet.silence_by_zone.get(&z)).copied().unwrap_or(0.0);
         let own = s.of_class.get(&class).map_or(0.0, |c| c.errors);
         let errors = s.errors.max(zone).max(own) * ERROR_AIM * self.shortest_aim;
-        pace * (self.others(s) + s.work_out + work) + wait + errors
+        pace * (self.others_work(s) + s.work_out + work) + wait + errors
     }
 
     /// Work of the call that a further part would open at this server; parts sent in this batch share theirs.
@@ -432,11 +432,11 @@
         let piece = &q.pieces[i];
         let work = self.work(q, i);
         let class = &self.set.classes[q.class];
-        let at_cold = self.learned[q.class].work.at_cold(work, class.aim);
+        let at_cold = self.learned[q.class].work.cold_work(work, class.aim);
         let room = |s: &usize| room(self, *s, at_cold);
         let fit = |s: &usize| self.sound(*s) && room(s);
         let used = |s: &usize| piece.tries.iter().any(|t| t.server == *s);
-        let holders = self.fleet.rows.of(piece.shard);
+        let holders = self.fleet.rows.holders(piece.shard);
         let fresh = holders.iter().any(|s| !used(s));
         let open = |s: &usize| !(fresh && used(s));
         let cross = CROSS_AIM * self.set.classes[q.class].aim;
@@ -450,16 +450,16 @@
         };
         let margin = BEHIND_AIM * self.set.classes[q.class].aim;
         // What this batch has put there shares the call: a row's holder is not behind for it.
-        let own = |s: usize| self.fleet.servers[s].pace.told() * self.fleet.servers[s].bundled_work;
+        let own = |s: usize| self.fleet.servers[s].pace.measured() * self.fleet.servers[s].bundled_work;
         let keeps = |s: &usize| open(s) && fit(s) && score(*s) - own(*s) <= score(best_fit) + margin;
         piece.row_holder.filter(|s| holders.contains(s) && keeps(s)).or(Some(best_fit))
     }
 
     /// Notes that a part wants a server, and which cold one, if any, it would go to.
     fn want(&mut self, q: &Held, i: usize) {
-        self.desk.demand.part(q.pieces[i].shard);
+        self.queries.demand.record_part(q.pieces[i].shard);
         let cold = |s: &usize| self.fleet.servers[*s].cold_since.is_some();
-        if self.fleet.rows.of(q.pieces[i].shard).iter().any(cold)
+        if self.fleet.rows.holders(q.pieces[i].shard).iter().any(cold)
             && let Some(s) = self.pick(q, i, |_, _, _| true)
         {
             self.fleet.servers[s].wished = true;
@@ -472,7 +472,7 @@
         let class = &self.set.classes[q.class];
         let spare = if q.step_from == 0 { class.need - class.floor } else { 0.0 };
         let most = spare + ROUNDING;
-        spare > ROUNDING && self.behind(q, i) && self.without(q, i, most) <= most
+        spare > ROUNDING && self.behind(q, i) && self.missing_weight_if_omitted(q, i, most) <= most
     }
 
     /// Whether no holder of a part's shard may be sent to and forecasts an answer soon.
@@ -484,7 +484,7 @@
             let times = if heard { LEAVE_USUAL.0 } else { LEAVE_USUAL.1 };
             self.fit(s, work) && self.forecast(s, q.class, work) <= (LEAVE_AIM * aim).max(times * usual)
         };
-        !self.fleet.rows.of(q.pieces[i].shard).iter().copied().any(soon)
+        !self.fleet.rows.holders(q.pieces[i].shard).iter().copied().any(soon)
     }
 
     // ---- attempts
@@ -503,7 +503,7 @@
             return true;
         }
         if piece.tries.is_empty() {
-            if piece.reserve && !self.any_troubled(q) {
+            if piece.reserve && !self.any_failed_or_late(q) {
                 return true;
             }
             self.want(q, i);
@@ -536,7 +536,7 @@
         let there = &self.fleet.servers[newest.server];
         let same = out && newest.server == s;
         // Nothing was heard from there since, and the query's other parts took far less: not slow but lost.
-        let lost = there.heard < newest.sent && age > OVERDUE * self.longest_served(q);
+        let lost = there.heard < newest.sent && age > OVERDUE * self.max_served_time(q);
         let soon = age <= expected.min(forecast) + COPY * forecast;
         if out && (same || soon || !self.fit(s, 0.0) || self.now + forecast > self.useful_end(q)) {
             return true;
@@ -545,7 +545,7 @@
             // What is merely slow has most of its work behind it, which would be lost. To wait for
             // what is lost costs all parts that are in: the more of them, the longer another may take.
             let aim = self.set.classes[q.class].aim;
-            let served = self.broken_and_served(q).1 as f64 / q.pieces.len() as f64;
+            let served = self.lost_and_served_counts(q).1 as f64 / q.pieces.len() as f64;
             let pays = if lost { served * (q.asked + aim - self.now) } else { 0.0 };
             let early = age <= (OVERDUE * expected).min(CALL_OFF_LATE * aim);
             if early || forecast > pays.max(CALL_OFF_AIM * aim) {
@@ -557,7 +557,7 @@
             self.out.push(Action::Cancel { part: piece.id.clone(), attempt });
             return true;
         }
-        self.desk.extras.push_back(self.now);
+        self.queries.extra_attempts.push_back(self.now);
         self.send(q, i, s);
         true
     }
@@ -581,7 +581,7 @@
     /// Also holds where a zone or many servers die at once: such queries come back later. Others go on.
     /// A server that has answered since is up: it lost that connection alone.
     pub(crate) fn spoiled(&self, q: &Held) -> bool {
-        let (broken, served) = self.broken_and_served(q);
+        let (broken, served) = self.lost_and_served_counts(q);
         broken >= SPOILED && broken > served
     }
 
@@ -607,9 +607,10 @@
         let rule = self.set.budget.unwrap_or(own);
         let from = self.now - rule.span;
         // The window's ends are taken so that neither reading of them allows more than the rule.
-        trim(&mut self.desk.taken, from + self.set.tick);
-        trim(&mut self.desk.extras, from - self.set.tick);
-        (self.desk.extras.len() + 1) as f64 <= rule.spare + rule.per_request * self.desk.taken.len() as f64
+        trim(&mut self.queries.arrivals, from + self.set.tick);
+        trim(&mut self.queries.extra_attempts, from - self.set.tick);
+        (self.queries.extra_attempts.len() + 1) as f64
+            <= rule.spare + rule.per_request * self.queries.arrivals.len() as f64
     }
 
     fn send(&mut self, q: &mut Held, i: usize, server: usize) {
@@ -617,14 +618,14 @@
         let own = if q.pieces[i].tries.is_empty() { q.own } else { self.own_time(1) };
         let forecast = self.forecast(server, q.class, work);
         let expected = forecast + own;
-        let others = self.others(&self.fleet.servers[server]);
+        let others = self.others_work(&self.fleet.servers[server]);
         let end = self.useful_end(q).min(q.give_up_at);
         let within = (end < q.give_up_at).then_some((end - self.now).max(self.set.tick));
-        let at_cold = self.learned[q.class].work.at_cold(work, self.set.classes[q.class].aim);
+        let at_cold = self.learned[q.class].work.cold_work(work, self.set.classes[q.class].aim);
         let s = &mut self.fleet.servers[server];
         s.work_out += work;
         s.bundled += 1;
-        self.fleet.called.push(server);
+        self.fleet.called_in_batch.push(server);
         s.bundled_work += work;
         s.flying.push((self.now, expected));
         s.note_sent(self.now, at_cold, self.set.cold.fall_after);
@@ -633,7 +634,7 @@
         let connected = None;
         let flight = Flight { server, class, work, ahead, scale, sent, busy, connected, forecast, expected };
         let piece = &mut q.pieces[i];
-        self.desk.flights.insert((piece.id.clone(), piece.tries.len() as u32), flight);
+        self.queries.in_flight.insert((piece.id.clone(), piece.tries.len() as u32), flight);
         piece.tries.push(Try { server, sent: self.now, expected, outcome: None, took: 0.0 });
         let node = self.fleet.servers[server].node.clone();
         self.out.push(Action::Send { part: piece.id.clone(), node, within });
@@ -706,7 +707,7 @@
     /// Whether a part that is not in may still come.
     fn alive(&self, q: &Held, p: &Piece, spoiled: bool) -> bool {
         let left = p.tried() < q.max_attempts && (p.tries.is_empty() || !spoiled);
-        p.tries.iter().any(|t| t.outcome.is_none()) || (left && !self.fleet.rows.of(p.shard).is_empty())
+        p.tries.iter().any(|t| t.outcome.is_none()) || (left && !self.fleet.rows.holders(p.shard).is_empty())
     }
 
     fn answer(&mut self, id: &RequestId, q: &mut Held, whole: bool) -> bool {
@@ -715,11 +716,11 @@
             self.learned[q.class].probes.note_served(id, self.now);
         }
         if self.set.classes[q.class].second_step && q.first_whole.is_none() {
-            self.cancel_rest(q);
+            self.cancel_in_flight(q);
             q.first_whole = Some(whole);
             q.stepped = self.now;
             q.step_from = q.pieces.len();
-            q.recount(&self.set, self.now);
+            q.rebuild_index(&self.set, self.now);
             return false;
         }
         self.forget(id, q);
@@ -749,8 +750,8 @@
     }
 
     fn forget(&mut self, id: &RequestId, q: &Held) {
-        self.cancel_rest(q);
-        self.desk.calendar.forget(id, q);
+        self.cancel_in_flight(q);
+        self.queries.schedule.remove(id, q);
         let learned = &mut self.learned[q.class];
         let first_end = if q.first_whole.is_some() { q.stepped } else { self.now };
         if q.forecast > 0.0 && first_end > q.arrived {
@@ -762,8 +763,8 @@
             let most = self.set.classes[q.class].aim * SECOND_AIM;
             learned.second += NEWS * ((self.now - q.stepped).min(most) - learned.second);
         }
-        self.desk.groups.remove(&q.group);
-        q.pieces.iter().for_each(|p| drop(self.desk.part_of.remove(&p.id)));
+        self.queries.groups.remove(&q.group);
+        q.pieces.iter().for_each(|p| drop(self.queries.part_positions.remove(&p.id)));
     }
 
     // ---- refusals on arrival
@@ -775,11 +776,11 @@
         let class = &self.set.classes[q.class];
         let (mut mean, mut slowest): (Ms, Ms) = (0.0, 0.0);
         let mut total = 0.0;
-        let may_leave = q.may_leave(&self.set);
+        let may_omit_parts = q.may_omit_parts(&self.set);
         for i in 0..q.pieces.len() {
             let work = self.work(q, i);
             total += work;
-            let holders = self.fleet.rows.of(q.pieces[i].shard);
+            let holders = self.fleet.rows.holders(q.pieces[i].shard);
             let least = |of: &mut dyn Iterator<Item = usize>| {
                 // Whether there is time is told by paces that hold no time twice.
                 let rescaled = |s: usize| self.fleet.servers[s].pace.rescaled();
@@ -788,10 +789,10 @@
             // One that is passed over will not be sent to, however idle it looks for that.
             let sound = least(&mut holders.iter().copied().filter(|s| self.sound(*s)));
             let best = sound.or_else(|| least(&mut holders.iter().copied())).unwrap_or(f64::INFINITY);
-            if may_leave {
-                q.lift(i);
+            if may_omit_parts {
+                q.unindex_part(i);
                 q.pieces[i].left = self.leaves(q, i);
-                q.settle(&self.set, self.now, i);
+                q.index_part(&self.set, self.now, i);
             }
             if best.is_finite() && !q.pieces[i].left {
                 mean += best / q.pieces.len() as f64;
@@ -825,11 +826,11 @@
         }
         let in_time_yet = assessment.allowed > 0.0;
         if in_time_yet && probes.lets_in(id, self.now) {
-            self.desk.refusals.probes += 1;
+            self.queries.refusals.probes += 1;
             return true;
         }
         probes.note_refused();
-        self.desk.refusals.note(assessment);
+        self.queries.refusals.note(assessment);
         false
     }
 
@@ -844,18 +845,18 @@
     // ---- health, from own outcomes
 
     fn ended(&mut self, part: RequestId, attempt: u32, outcome: Outcome, elapsed: Ms, load: Option<f64>) {
-        if let Some(flight) = self.desk.flights.remove(&(part.clone(), attempt)) {
+        if let Some(flight) = self.queries.in_flight.remove(&(part.clone(), attempt)) {
             self.landed(&flight, outcome, elapsed);
-            self.hear_load(&flight, load);
+            self.record_reported_load(&flight, load);
         }
-        self.close_try(&part, attempt, outcome);
+        self.finish_attempt(&part, attempt, outcome);
     }
 
     pub(crate) fn landed(&mut self, f: &Flight, outcome: Outcome, elapsed: Ms) {
         let silent = self.fleet.servers[f.server].went_silent;
         self.judge(f, outcome, elapsed);
         if silent != self.fleet.servers[f.server].went_silent {
-            self.silence_turned(f.server);
+            self.silence_changed(f.server);
         }
     }
 
@@ -868,12 +869,12 @@
         s.landed(f);
         // Long overdue and nothing sent later was answered: a failure, even if a second copy was quicker and
         // this one was called off. The forecast grows with load, so load alone does not count.
-        let overdue = !self.desk.stood && elapsed > (OVERDUE * f.expected).max(OVERDUE_AIM * aim);
+        let overdue = !self.queries.paused && elapsed > (OVERDUE * f.expected).max(OVERDUE_AIM * aim);
         let silent = overdue && f.sent > s.last_served_sent;
         let quiet = outcome == Outcome::Cancelled && silent
             || matches!(outcome, Outcome::TimedOut | Outcome::NoConnection | Outcome::ConnectionLost);
-        if let Some(zone) = s.zone.filter(|_| !self.desk.stood && (quiet || outcome == Outcome::Served)) {
-            let share = self.fleet.silence.entry(zone).or_default();
+        if let Some(zone) = s.zone.filter(|_| !self.queries.paused && (quiet || outcome == Outcome::Served)) {
+            let share = self.fleet.silence_by_zone.entry(zone).or_default();
             *share += ZONE_NEWS * (f64::from(u8::from(quiet)) - *share);
         }
         // A server may fail one class and serve the others, whose answers then hide it: its own record.
@@ -889,16 +890,16 @@
         match outcome {
             Outcome::NotSent => return,
             // Seen late, since this aggregator stood still: no news of the server.
-            Outcome::TimedOut if self.desk.stood => return,
+            Outcome::TimedOut if self.queries.paused => return,
             Outcome::Cancelled if !silent => return,
             Outcome::Served => {
                 width.ended += 1;
-                self.desk.served += if s.warm() { f.work } else { 0.0 };
-                let likely = if self.desk.stood { likely.min(f.expected) } else { likely };
+                self.queries.served_work += if s.warm() { f.work } else { 0.0 };
+                let likely = if self.queries.paused { likely.min(f.expected) } else { likely };
                 let pace = likely / f.ahead.max(1.0);
                 let news = if elapsed > OVERDUE * f.expected { SLOW_NEWS } else { NEWS };
                 let work = &self.learned[f.class].work;
-                match work.known() {
+                match work.is_known() {
                     true => s.pace.observe(pace, pace * f.scale / work.scale(), news),
                     false => s.pace.observe_provisional(f.class, pace, work.scale() / f.scale, news),
                 }
@@ -918,7 +919,7 @@
                     }
                 }
                 s.went_silent = false;
-                self.learned[f.class].work.answered(likely);
+                self.learned[f.class].work.observe(likely);
                 return;
             }
             Outcome::Full => {
@@ -939,7 +940,7 @@
                 }
                 // It would have taken longer still: else a server full of work that will time out looks fast.
                 let pace = (least / f.ahead.max(1.0)).min(PACE_LOST * self.fleet_pace);
-                s.pace.observe_at_least(pace, NEWS);
+                s.pace.observe_lower_bound(pace, NEWS);
                 s.heard = self.now;
             }
             // Quick errors tell of the server, not of the load: the width loop leaves them to this.
@@ -975,7 +976,7 @@
         }
         let capacity = rule.from + (1.0 - rule.from) * age;
         let most = COLD_SAFE * rule.fall_multiple * capacity * rule.fall_after;
-        let (part, served) = (1.0 / self.set.aggregators.max(1) as f64, self.desk.served_rate);
+        let (part, served) = (1.0 / self.set.aggregators.max(1) as f64, self.queries.served_rate);
         let share = served.max((part + served) / 2.0);
         let even = most * share;
         let from = self.now - rule.fall_after;
@@ -984,8 +985,8 @@
         // turn is lost where no part is there to take it, so that the chance grows as those are rare: over
         // all aggregators, demand times chance then sums up to the turns meant, however many they are.
         let held = (!self.warm_beside(s)).then(|| self.set.longest_wait() / SECOND);
-        let demand = self.desk.demand.of_one(s.cell, self.set.reach, held);
-        let turns = turns_within(most / (COLD_SAFE * work.max(1.0)), COLD_SCATTER) / COLD_SURGE;
+        let demand = self.queries.demand.server_share(s.cell, self.set.reach, held);
+        let turns = mean_grants_within(most / (COLD_SAFE * work.max(1.0)), COLD_SCATTER) / COLD_SURGE;
         let turn = turns * share * SECOND / (rule.fall_after * demand);
         sent + work <= even || (sent == 0.0 && s.lot < turn)
     }
@@ -993,7 +994,7 @@
     /// Whether a warm server that may be sent to holds what this one does.
     fn warm_beside(&self, s: &Server) -> bool {
         let warm = |i: &usize| self.fleet.servers[*i].warm() && self.sound(*i);
-        self.fleet.rows.of(s.cell).iter().any(warm)
+        self.fleet.rows.holders(s.cell).iter().any(warm)
     }
 
     // ---- once a second: the width loop and the fleet's pace
@@ -1007,19 +1008,19 @@
             self.steer_width(i);
         }
         let heard = self.fleet.servers.iter().filter(|s| s.heard > self.now - 4.0 * SECOND);
-        let median = estimates::median(heard.map(|s| &s.pace));
+        let median = estimates::median_pace(heard.map(|s| &s.pace));
         // Nothing heard, as when all is refused after a bad spell: it fades, or it would be believed on.
         let unheard = if median.is_none() { FORGET } else { 0.0 };
-        self.learned.iter_mut().for_each(|l| l.work.fade(unheard));
+        self.learned.iter_mut().for_each(|l| l.work.decay(unheard));
         let faded = |pace: f64| pace + FORGET * (FIRST_PACE - pace);
         let faded = (faded(self.fleet_pace), faded(self.fleet_rescaled));
         (self.fleet_pace, self.fleet_rescaled) = median.unwrap_or(faded);
         let cold = |s: &&Server| s.cold_since.is_some() && self.warm_beside(s);
         let wished: Vec<bool> = self.fleet.servers.iter().filter(cold).map(|s| s.wished).collect();
-        self.desk.demand.second(NEWS, &wished);
+        self.queries.demand.end_second(NEWS, &wished);
         for s in &mut self.fleet.servers {
             if s.heard < self.now - SECOND {
-                s.pace.approach(self.fleet_pace, self.fleet_rescaled, FORGET);
+                s.pace.move_towards(self.fleet_pace, self.fleet_rescaled, FORGET);
             }
             s.of_class.values_mut().for_each(|c| c.errors *= 1.0 - FORGET);
             if s.flying.is_empty() {
@@ -1031,11 +1032,11 @@
             s.cold_since = s.cold_since.filter(|c| c + self.set.cold.warm_after > self.now);
         }
         let warm = self.fleet.servers.iter().filter(|s| s.warm()).count();
-        let served = std::mem::take(&mut self.desk.served) / SECOND / warm.max(1) as f64;
+        let served = std::mem::take(&mut self.queries.served_work) / SECOND / warm.max(1) as f64;
         if warm > 0 {
-            self.desk.served_rate += NEWS * (served - self.desk.served_rate);
+            self.queries.served_rate += NEWS * (served - self.queries.served_rate);
         }
-        self.forget_gone();
+        self.evict_gone_servers();
         self.budget_left(); // forgets what is past its window
     }
 
@@ -1045,7 +1046,7 @@
         if w.ended == 0 {
             return;
         }
-        let rows = self.fleet.rows.most().max(1);
+        let rows = self.fleet.rows.max_holders().max(1);
         let share = f64::from(w.bad) / f64::from(w.ended);
         let error = ((WIDTH_TARGET - share) / WIDTH_TARGET).max(-WIDTH_ERROR_CAP);
         let change = WIDTH_GAINS.0 * error + WIDTH_GAINS.1 * (error - w.last_error);
--- a/crates/brookbend/src/estimates/load.rs
+++ b/crates/brookbend/src/estimates/load.rs
@@ -20,7 +20,7 @@
 
 impl OthersLoad {
     /// Before any report.
-    pub(crate) fn none() -> Self {
+    pub(crate) fn unknown() -> Self {
         OthersLoad { work: 0.0, since: f64::NEG_INFINITY, held: f64::NAN }
     }
 
@@ -36,7 +36,7 @@
     }
 
     /// What is left of it, at a server of this pace.
-    pub(crate) fn at(&self, now: Ms, pace: f64) -> Ms {
+    pub(crate) fn remaining(&self, now: Ms, pace: f64) -> Ms {
         let drained = DRAIN * (now - self.since) / pace.max(LEAST_PACE);
         (self.work - drained).max(0.0)
     }
@@ -45,7 +45,7 @@
 impl Aggregator {
     /// A server's report of what it holds shows what others have out there. It is late and may be untrue: it
     /// fills a few aims at most, drains with time, and no rule rests on it.
-    pub(crate) fn hear_load(&mut self, f: &Flight, load: Option<f64>) {
+    pub(crate) fn record_reported_load(&mut self, f: &Flight, load: Option<f64>) {
         let Some(held) = load else { return };
         let most = OVERDUE * self.shortest_aim / self.fleet_pace.max(NEWS);
         let s = &mut self.fleet.servers[f.server];
@@ -56,7 +56,7 @@
     }
 
     /// Work of others at a server, as reported.
-    pub(crate) fn others(&self, s: &Server) -> Ms {
-        s.others.at(self.now, s.pace.told())
+    pub(crate) fn others_work(&self, s: &Server) -> Ms {
+        s.others.remaining(self.now, s.pace.measured())
     }
 }
--- a/crates/brookbend/src/estimates/mod.rs
+++ b/crates/brookbend/src/estimates/mod.rs
@@ -9,7 +9,7 @@
 
 pub(crate) use load::OthersLoad;
 pub(crate) use pace::Pace;
-pub(crate) use work::Work;
+pub(crate) use work::WorkEstimate;
 
 use crate::state::{Learned, Server};
 
@@ -22,7 +22,7 @@
     let unit = |of: &Learned| if worth_by_work { 1.0 } else { of.work.unit() };
     let own = &mut learned[class];
     own.best_worth = own.best_worth.max(density * unit(own));
-    let known = learned.iter().enumerate().filter(|(of, l)| *of == class || l.work.known());
+    let known = learned.iter().enumerate().filter(|(of, l)| *of == class || l.work.is_known());
     known.map(|(_, l)| l.best_worth / unit(l)).fold(0.0, f64::max)
 }
 
@@ -43,13 +43,13 @@
 }
 
 /// The median of these paces, as told and rescaled; `None`: there are none.
-pub(crate) fn median<'a>(paces: impl Iterator<Item = &'a Pace> + Clone) -> Option<(f64, f64)> {
+pub(crate) fn median_pace<'a>(paces: impl Iterator<Item = &'a Pace> + Clone) -> Option<(f64, f64)> {
     let middle = |of: fn(&Pace) -> f64| {
         let mut values: Vec<f64> = paces.clone().map(of).collect();
         let place = values.len() / 2;
         (!values.is_empty()).then(|| *values.select_nth_unstable_by(place, f64::total_cmp).1)
     };
-    Some((middle(Pace::told)?, middle(Pace::rescaled)?))
+    Some((middle(Pace::measured)?, middle(Pace::rescaled)?))
 }
 
 #[cfg(test)]
@@ -60,14 +60,14 @@
 
     /// A class whose answers took so long, often enough to be known.
     fn known(time: f64) -> Learned {
-        let mut learned = Learned { work: Work::new(CALL), ..Learned::default() };
+        let mut learned = Learned { work: WorkEstimate::new(CALL), ..Learned::default() };
         takes(&mut learned, time);
-        assert!(learned.work.known());
+        assert!(learned.work.is_known());
         learned
     }
 
     fn takes(learned: &mut Learned, time: f64) {
-        (0..2000).for_each(|_| learned.work.answered(time));
+        (0..2000).for_each(|_| learned.work.observe(time));
         learned.work.take_change();
     }
 
@@ -93,7 +93,7 @@
 
     #[test]
     fn a_class_whose_work_is_a_guess_makes_no_other_look_poor() {
-        let mut learned = [known(60.0), Learned { work: Work::new(CALL), ..Learned::default() }];
+        let mut learned = [known(60.0), Learned { work: WorkEstimate::new(CALL), ..Learned::default() }];
         let guess = density(&learned, 1, 1.0);
         assert_eq!(best_density(&mut learned, 1, guess, false), guess);
         let of_known = density(&learned, 0, 1.0);
--- a/crates/brookbend/src/estimates/pace.rs
+++ b/crates/brookbend/src/estimates/pace.rs
@@ -23,7 +23,7 @@
     }
 
     /// As it was told: what servers are compared by.
-    pub(crate) fn told(&self) -> f64 {
+    pub(crate) fn measured(&self) -> f64 {
         self.told
     }
 
@@ -33,21 +33,21 @@
     }
 
     /// Moves by the share `weight` towards a pace that is told, and one that is rescaled.
-    pub(crate) fn approach(&mut self, told: f64, rescaled: f64, weight: f64) {
+    pub(crate) fn move_towards(&mut self, told: f64, rescaled: f64, weight: f64) {
         self.told += weight * (told - self.told);
         self.rescaled += weight * (rescaled - self.rescaled);
         self.provisional.iter_mut().for_each(|(_, part)| *part *= 1.0 - weight);
     }
 
     /// What is seen is a lower bound.
-    pub(crate) fn observe_at_least(&mut self, seen: f64, weight: f64) {
-        self.approach(seen.max(self.told), seen.max(self.rescaled), weight);
+    pub(crate) fn observe_lower_bound(&mut self, seen: f64, weight: f64) {
+        self.move_towards(seen.max(self.told), seen.max(self.rescaled), weight);
     }
 
     /// An answer of a class whose unit of work is known tells this; it counts for `weight`.
     pub(crate) fn observe(&mut self, told: f64, rescaled: f64, weight: f64) {
         self.heard = true;
-        self.approach(told, rescaled, weight);
+        self.move_towards(told, rescaled, weight);
     }
 
     /// An answer tells this that was measured against a guess of its class's unit of work, which has grown by `ratio` since.
@@ -61,7 +61,7 @@
             self.provisional = vec![(class, rescaled)];
             return;
         }
-        self.approach(seen, rescaled, weight);
+        self.move_towards(seen, rescaled, weight);
         match self.provisional.iter_mut().find(|(of, _)| *of == class) {
             Some((_, part)) => *part += weight * rescaled,
             None => self.provisional.push((class, weight * rescaled)),
@@ -102,11 +102,11 @@
     fn a_rescaled_pace_is_what_the_known_unit_would_have_told() {
         let times = [35.0, 40.0, 10.0];
         let mut pace = learned(&times, GUESS);
-        let told = pace.told();
+        let told = pace.measured();
         pace.rescale(0, UNIT / GUESS);
         let known = learned(&times, UNIT);
         assert!((pace.rescaled() - known.rescaled()).abs() < 1e-9, "{pace:?}");
-        assert_eq!(pace.told(), told);
+        assert_eq!(pace.measured(), told);
         // One that was under way when the guess moved.
         pace.observe_provisional(0, 35.0 / GUESS, UNIT / GUESS, 0.2);
         assert!(
@@ -131,8 +131,8 @@
         let mut pace = learned(&[35.0; 3], GUESS);
         pace.rescale(0, UNIT / GUESS);
         pace.settle(0);
-        (0..40).for_each(|_| pace.approach(1.0, 1.0, 0.2));
-        assert!((pace.told() - pace.rescaled()).abs() < 0.01, "{pace:?}");
+        (0..40).for_each(|_| pace.move_towards(1.0, 1.0, 0.2));
+        assert!((pace.measured() - pace.rescaled()).abs() < 0.01, "{pace:?}");
     }
 
     #[test]
@@ -153,8 +153,8 @@
     #[test]
     fn a_lower_bound_lowers_nothing() {
         let mut pace = learned(&[35.0], GUESS);
-        let before = (pace.told(), pace.rescaled());
-        pace.observe_at_least(0.1, 0.2);
-        assert_eq!((pace.told(), pace.rescaled()), before);
+        let before = (pace.measured(), pace.rescaled());
+        pace.observe_lower_bound(0.1, 0.2);
+        assert_eq!((pace.measured(), pace.rescaled()), before);
     }
 }
--- a/crates/brookbend/src/estimates/work.rs
+++ b/crates/brookbend/src/estimates/work.rs
@@ -22,7 +22,7 @@
 
 /// What is known of it.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Work {
+pub(crate) struct WorkEstimate {
     /// What forecasts go by: it steps from what a call costs, and takes hundreds of answers to come to what a part does.
     unit: Ms,
     /// What a part took beside its call: the first answers tell it.
@@ -41,22 +41,22 @@
 }
 
 /// A guess of a unit of work has moved.
-pub(crate) struct Change {
+pub(crate) struct UnitChange {
     /// It is so many times what it was.
     pub(crate) ratio: f64,
     /// It is no guess any more.
     pub(crate) settled: bool,
 }
 
-impl Work {
+impl WorkEstimate {
     /// Before any answer.
     pub(crate) fn new(call: Ms) -> Self {
-        Work { unit: call.max(1.0) * FIRST, call, moved: 1.0, scale: 1.0, ..Work::default() }
+        WorkEstimate { unit: call.max(1.0) * FIRST, call, moved: 1.0, scale: 1.0, ..WorkEstimate::default() }
     }
 
     /// As another learned it, of whom nobody knows from how many answers: it counts as a guess.
-    pub(crate) fn learned(unit: Ms, call: Ms) -> Self {
-        Work { unit, ..Work::new(call) }
+    pub(crate) fn restored(unit: Ms, call: Ms) -> Self {
+        WorkEstimate { unit, ..WorkEstimate::new(call) }
     }
 
     pub(crate) fn unit(&self) -> Ms {
@@ -64,7 +64,7 @@
     }
 
     /// Whether the unit has come near what answers take.
-    pub(crate) fn known(&self) -> bool {
+    pub(crate) fn is_known(&self) -> bool {
         self.known
     }
 
@@ -75,18 +75,18 @@
     }
 
     /// By how much a guess has moved since this was last asked, if it has.
-    pub(crate) fn take_change(&mut self) -> Option<Change> {
+    pub(crate) fn take_change(&mut self) -> Option<UnitChange> {
         if self.moved == 1.0 {
             return None;
         }
         self.known = self.quicker >= QUICKER;
         let ratio = std::mem::replace(&mut self.moved, 1.0);
         self.scale *= ratio;
-        Some(Change { ratio, settled: self.known })
+        Some(UnitChange { ratio, settled: self.known })
     }
 
     /// An answer took so long.
-    pub(crate) fn answered(&mut self, elapsed: Ms) {
+    pub(crate) fn observe(&mut self, elapsed: Ms) {
         let step = toward(self.unit, elapsed);
         if !self.known {
             self.moved *= step;
@@ -107,8 +107,8 @@
     /// Nothing is heard any more, as when all is refused after a bad spell: what was learned in that fades by this share,
     /// towards what is taken before any answer, or it would be believed for ever. What is less than that stays. What has
     /// faded is a guess again.
-    pub(crate) fn fade(&mut self, share: f64) {
-        let first = Work::new(self.call).unit;
+    pub(crate) fn decay(&mut self, share: f64) {
+        let first = WorkEstimate::new(self.call).unit;
         let faded = share * (self.unit - first).max(0.0);
         if faded > 0.0 {
             self.unit -= faded;
@@ -118,7 +118,7 @@
 
     /// What a part of this work counts for at a server that has just started. What forecasts go by is left where it is not
     /// off by more than FAR times: the allowance has room for that, and is used so.
-    pub(crate) fn at_cold(&self, work: Ms, aim: Ms) -> Ms {
+    pub(crate) fn cold_work(&self, work: Ms, aim: Ms) -> Ms {
         let told = if self.answers == 0 { UNKNOWN_AIM * aim } else { self.alone };
         if told > FAR * work { told } else { work }
     }
--- a/crates/brookbend/src/lib.rs
+++ b/crates/brookbend/src/lib.rs
@@ -48,21 +48,21 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod agenda;
 pub mod api;
-mod check;
 pub mod choice;
+mod consistency;
 mod demand;
-mod desk;
-mod due;
 mod estimates;
 mod fleet;
 pub mod own;
+mod part_index;
 mod probe;
+mod query_table;
 pub mod recall;
 pub mod refusals;
+pub mod retry_advice;
 mod retune;
-pub mod room;
+mod schedule;
 pub mod settings;
 mod state;
 pub mod view;
--- a/crates/brookbend/src/own.rs
+++ b/crates/brookbend/src/own.rs
@@ -41,6 +41,6 @@
     /// The time that this aggregator itself needs for a query of so many parts, behind what this batch sends: whatever servers
     /// do, it takes one after another.
     pub(crate) fn own_time(&self, parts: usize) -> Ms {
-        self.own.part * (self.fleet.called.len() + parts) as f64 + self.own.turn * TURNS_WAITED
+        self.own.part * (self.fleet.called_in_batch.len() + parts) as f64 + self.own.turn * TURNS_WAITED
     }
 }
--- a/crates/brookbend/src/desk.rs
+++ b/crates/brookbend/src/query_table.rs
@@ -1,57 +1,57 @@
 //! What an aggregator has in hand, and what is noted in it as parts come and attempts end. Nothing here decides anything.
 
-use crate::agenda::Stand;
 use crate::api::*;
 use crate::choice::Aggregator;
 use crate::demand::Demand;
-use crate::due::Calendar;
+use crate::part_index::PartStatus;
 use crate::refusals::Refusals;
+use crate::schedule::Schedule;
 use crate::state::{Flight, Held, Piece};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What an aggregator has in hand.
 #[derive(Default)]
-pub(crate) struct Desk {
-    pub(crate) queries: BTreeMap<RequestId, Held>,
+pub(crate) struct QueryTable {
+    pub(crate) by_id: BTreeMap<RequestId, Held>,
     pub(crate) groups: BTreeMap<u64, RequestId>,
     /// Of each part: its query, and its place there.
-    pub(crate) part_of: BTreeMap<RequestId, (RequestId, usize)>,
-    pub(crate) flights: BTreeMap<(RequestId, u32), Flight>,
+    pub(crate) part_positions: BTreeMap<RequestId, (RequestId, usize)>,
+    pub(crate) in_flight: BTreeMap<(RequestId, u32), Flight>,
     /// When queries and parts came, and when further attempts went.
-    pub(crate) taken: VecDeque<Ms>,
-    pub(crate) extras: VecDeque<Ms>,
+    pub(crate) arrivals: VecDeque<Ms>,
+    pub(crate) extra_attempts: VecDeque<Ms>,
     /// Queries that were refused on arrival.
     pub(crate) refusals: Refusals,
     /// Work served since the last second began; and, smoothed, by each warm server in a millisecond.
-    pub(crate) served: Ms,
+    pub(crate) served_work: Ms,
     pub(crate) served_rate: f64,
     /// How often parts want a server.
     pub(crate) demand: Demand,
-    pub(crate) calendar: Calendar,
+    pub(crate) schedule: Schedule,
     /// Whether this aggregator stood still before this batch.
-    pub(crate) stood: bool,
+    pub(crate) paused: bool,
 }
 
-impl Desk {
+impl QueryTable {
     /// The servers that something in hand refers to.
-    pub(crate) fn servers(&self) -> BTreeSet<usize> {
-        let pieces = || self.queries.values().flat_map(|q| &q.pieces);
+    pub(crate) fn referenced_servers(&self) -> BTreeSet<usize> {
+        let pieces = || self.by_id.values().flat_map(|q| &q.pieces);
         let tried = pieces().flat_map(|p| p.tries.iter().map(|t| t.server));
-        let flying = self.flights.values().map(|f| f.server);
+        let flying = self.in_flight.values().map(|f| f.server);
         tried.chain(pieces().filter_map(|p| p.row_holder)).chain(flying).collect()
     }
 }
 
 impl Aggregator {
-    pub(crate) fn take_query(&mut self, q: Query) {
+    pub(crate) fn add_query(&mut self, q: Query) {
         if self.set.classes.is_empty() {
             return self.out.push(Action::Fail { query: q.id });
         }
-        self.desk.taken.push_back(self.now);
+        self.queries.arrivals.push_back(self.now);
         if let Some(times) = self.tenant_taken.get_mut(q.tenant.0) {
             times.push_back(self.now);
         }
-        self.desk.groups.insert(q.group, q.id.clone());
+        self.queries.groups.insert(q.group, q.id.clone());
         let class = q.class.0.min(self.set.classes.len().saturating_sub(1));
         let held = Held {
             asked: self.first_asked(class, &q),
@@ -63,15 +63,15 @@
             max_attempts: q.max_attempts.unwrap_or(u32::MAX).min(self.set.max_attempts),
             ..Default::default()
         };
-        self.desk.calendar.changed(&q.id);
-        self.desk.queries.insert(q.id, held);
+        self.queries.schedule.mark_changed(&q.id);
+        self.queries.by_id.insert(q.id, held);
     }
 
-    pub(crate) fn take_part(&mut self, p: Part) {
-        self.desk.taken.push_back(self.now);
-        let Some(id) = self.desk.groups.get(&p.group) else { return };
-        let Some(query) = self.desk.queries.get_mut(id) else { return };
-        self.desk.part_of.insert(p.id.clone(), (id.clone(), query.pieces.len()));
+    pub(crate) fn add_part(&mut self, p: Part) {
+        self.queries.arrivals.push_back(self.now);
+        let Some(id) = self.queries.groups.get(&p.group) else { return };
+        let Some(query) = self.queries.by_id.get_mut(id) else { return };
+        self.queries.part_positions.insert(p.id.clone(), (id.clone(), query.pieces.len()));
         query.planned = false;
         query.pieces.push(Piece {
             id: p.id,
@@ -84,65 +84,65 @@
             reserve: false,
             left: false,
             unreachable: false,
-            housed: !self.fleet.rows.of(p.shard).is_empty(),
-            stand: Stand::Done,
+            housed: !self.fleet.rows.holders(p.shard).is_empty(),
+            status: PartStatus::Done,
         });
-        query.settle(&self.set, self.now, query.pieces.len() - 1);
-        self.desk.calendar.changed(id);
+        query.index_part(&self.set, self.now, query.pieces.len() - 1);
+        self.queries.schedule.mark_changed(id);
     }
 
     /// Notes that no attempt at a part can be sent any more.
-    pub(crate) fn put_out_of_reach(&mut self, part: &RequestId) {
-        let Some((id, i)) = self.desk.part_of.get(part) else { return };
-        let (Some(q), i) = (self.desk.queries.get_mut(id), *i) else { return };
+    pub(crate) fn mark_unreachable(&mut self, part: &RequestId) {
+        let Some((id, i)) = self.queries.part_positions.get(part) else { return };
+        let (Some(q), i) = (self.queries.by_id.get_mut(id), *i) else { return };
         if i < q.pieces.len() {
-            q.lift(i);
+            q.unindex_part(i);
             q.pieces[i].unreachable = true;
-            q.settle(&self.set, self.now, i);
-            self.desk.calendar.changed(id);
+            q.index_part(&self.set, self.now, i);
+            self.queries.schedule.mark_changed(id);
         }
     }
 
     /// Writes the end of an attempt into its piece.
-    pub(crate) fn close_try(&mut self, part: &RequestId, attempt: u32, outcome: Outcome) {
-        let Some((id, i)) = self.desk.part_of.get(part) else { return };
-        let (Some(q), i) = (self.desk.queries.get_mut(id), *i) else { return };
+    pub(crate) fn finish_attempt(&mut self, part: &RequestId, attempt: u32, outcome: Outcome) {
+        let Some((id, i)) = self.queries.part_positions.get(part) else { return };
+        let (Some(q), i) = (self.queries.by_id.get_mut(id), *i) else { return };
         if i >= q.pieces.len() || attempt as usize >= q.pieces[i].tries.len() {
             return;
         }
-        q.lift(i);
+        q.unindex_part(i);
         let piece = &mut q.pieces[i];
         let t = &mut piece.tries[attempt as usize];
         let before = t.outcome.replace(outcome);
         t.took = self.now - t.sent;
         piece.served |= outcome == Outcome::Served;
         let server = t.server;
-        q.settle(&self.set, self.now, i);
-        self.looks.set(self.looks.get() + 1);
+        q.index_part(&self.set, self.now, i);
+        self.visits.set(self.visits.get() + 1);
         if before.is_some() {
             // Told twice: sums that only grow may have shrunk.
-            q.recount(&self.set, self.now);
+            q.rebuild_index(&self.set, self.now);
         }
-        let calendar = &mut self.desk.calendar;
+        let schedule = &mut self.queries.schedule;
         let silent = usize::from(self.fleet.servers[server].went_silent);
         let is_lost = |outcome: Option<Outcome>| outcome == Some(Outcome::ConnectionLost);
         match (is_lost(before), is_lost(Some(outcome))) {
             (false, true) => {
-                calendar.lost_at.entry(server).or_default().push(id.clone());
+                schedule.lost_by_server.entry(server).or_default().push(id.clone());
                 (q.lost, q.broken) = (q.lost + 1, q.broken + silent);
             }
             (true, false) => {
-                let of = calendar.lost_at.entry(server).or_default();
+                let of = schedule.lost_by_server.entry(server).or_default();
                 of.iter().position(|other| other == id).map(|at| of.swap_remove(at));
                 (q.lost, q.broken) = (q.lost - 1, q.broken - silent);
             }
             _ => {}
         }
-        calendar.changed(id);
+        schedule.mark_changed(id);
     }
 
     /// Calls off what is out of the step at hand, where that may be.
-    pub(crate) fn cancel_rest(&mut self, q: &Held) {
+    pub(crate) fn cancel_in_flight(&mut self, q: &Held) {
         if !self.set.cancel {
             return;
         }
@@ -154,7 +154,7 @@
     }
 
     /// Servers get new names all day: those that are gone must not be kept, nor looked through, for ever.
-    pub(crate) fn forget_gone(&mut self) {
-        self.fleet.forget_gone(self.now - self.set.cold.warm_after, || self.desk.servers());
+    pub(crate) fn evict_gone_servers(&mut self) {
+        self.fleet.evict_gone(self.now - self.set.cold.warm_after, || self.queries.referenced_servers());
     }
 }
--- a/crates/brookbend/src/recall.rs
+++ b/crates/brookbend/src/recall.rs
@@ -3,7 +3,7 @@
 
 use crate::api::*;
 use crate::choice::Aggregator;
-use crate::estimates::{Pace, Work};
+use crate::estimates::{Pace, WorkEstimate};
 use crate::state::Server;
 use serde::{Deserialize, Serialize};
 
@@ -101,7 +101,7 @@
         Recall {
             rev: 0,
             fleet_pace: self.fleet_rescaled,
-            served_rate: self.desk.served_rate,
+            served_rate: self.queries.served_rate,
             servers: self.fleet.by_name.values().map(|i| server(&self.fleet.servers[*i])).collect(),
             classes: self.learned.iter().map(class).collect(),
         }
@@ -116,12 +116,12 @@
             (self.fleet_pace, self.fleet_rescaled) = (r.fleet_pace, r.fleet_pace);
         }
         if figure(r.served_rate) {
-            self.desk.served_rate = self.desk.served_rate.max(r.served_rate);
+            self.queries.served_rate = self.queries.served_rate.max(r.served_rate);
         }
         for (learned, known) in self.learned.iter_mut().zip(&r.classes).filter(|(_, k)| !k.name.is_empty()) {
             if [known.rows, known.unit, known.lag, known.second].into_iter().all(figure) && known.unit > 0.0 {
                 learned.width.rows = known.rows.max(1.0);
-                learned.work = Work::learned(known.unit, self.set.call_work);
+                learned.work = WorkEstimate::restored(known.unit, self.set.call_work);
                 (learned.lag, learned.second) = (known.lag, known.second);
             }
         }
--- a/crates/brookbend/src/retune.rs
+++ b/crates/brookbend/src/retune.rs
@@ -35,13 +35,13 @@
             }
         }
         self.tenant_taken.resize_with(fresh.set.tenants.len(), Default::default);
-        if self.desk.demand.cells() != fresh.set.cells {
-            self.desk.demand = fresh.desk.demand;
+        if self.queries.demand.cell_count() != fresh.set.cells {
+            self.queries.demand = fresh.queries.demand;
         }
         self.set = fresh.set;
         self.shortest_aim = fresh.shortest_aim;
-        self.make_rows(None);
-        self.desk.calendar.all_changed();
+        self.rebuild_rows(None);
+        self.queries.schedule.mark_all_changed();
     }
 
     /// Others begin at these tenants' indices: what the tenants before took of their shares is none of theirs.
@@ -55,8 +55,8 @@
 impl Aggregator {
     /// The queries in hand are over by then, whatever their clients would wait.
     pub fn end_by(&mut self, at: Ms) {
-        self.desk.queries.values_mut().for_each(|q| q.give_up_at = q.give_up_at.min(at));
-        self.desk.calendar.all_changed();
+        self.queries.by_id.values_mut().for_each(|q| q.give_up_at = q.give_up_at.min(at));
+        self.queries.schedule.mark_all_changed();
     }
 }
 
--- a/crates/brookbend/src/due.rs
+++ b/crates/brookbend/src/schedule.rs
@@ -4,9 +4,9 @@
 //! Nothing here decides anything. It leaves out only what the decisions would pass over, and keeps the sums that they
 //! would else add up over all pieces. A moment told too early costs a look; one told too late would change a decision.
 
-use crate::agenda::{At, Stand, is_without};
 use crate::api::*;
 use crate::choice::{Aggregator, LEAVE_WAIT, REPLY_TICKS, ROUNDING};
+use crate::part_index::{OrderedTime, PartStatus, is_missing};
 use crate::state::{Held, Try};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,61 +17,61 @@
 
 /// The queries by when they are to be looked at.
 #[derive(Default)]
-pub(crate) struct Calendar {
-    by_time: BTreeSet<(At, RequestId)>,
+pub(crate) struct Schedule {
+    by_due_time: BTreeSet<(OrderedTime, RequestId)>,
     /// Those that are looked at in the next turn.
-    next: BTreeSet<RequestId>,
+    changed: BTreeSet<RequestId>,
     /// By server: the queries with a piece whose connection it lost, one for each such attempt.
-    pub(crate) lost_at: BTreeMap<usize, Vec<RequestId>>,
+    pub(crate) lost_by_server: BTreeMap<usize, Vec<RequestId>>,
     /// All is counted anew in the next turn.
-    recount: bool,
+    rebuild_all: bool,
 }
 
-impl Calendar {
+impl Schedule {
     /// Something of a query has changed.
-    pub(crate) fn changed(&mut self, id: &RequestId) {
-        self.next.insert(id.clone());
+    pub(crate) fn mark_changed(&mut self, id: &RequestId) {
+        self.changed.insert(id.clone());
     }
 
     /// Something that all queries rest on has changed.
-    pub(crate) fn all_changed(&mut self) {
-        self.recount = true;
+    pub(crate) fn mark_all_changed(&mut self) {
+        self.rebuild_all = true;
     }
 
     /// Takes out those that are due, in their order.
-    fn take(&mut self, now: Ms) -> BTreeSet<RequestId> {
-        let mut due = take(&mut self.next);
-        while self.by_time.first().is_some_and(|(at, _)| at.0 <= now) {
-            due.extend(self.by_time.pop_first().map(|(_, id)| id));
+    fn take_due(&mut self, now: Ms) -> BTreeSet<RequestId> {
+        let mut due = take(&mut self.changed);
+        while self.by_due_time.first().is_some_and(|(at, _)| at.0 <= now) {
+            due.extend(self.by_due_time.pop_first().map(|(_, id)| id));
         }
         due
     }
 
     /// A query is to be looked at by then.
-    fn put(&mut self, id: &RequestId, q: &mut Held, at: Ms, now: Ms) {
-        let was = replace(&mut q.due, at);
+    fn set(&mut self, id: &RequestId, q: &mut Held, at: Ms, now: Ms) {
+        let was = replace(&mut q.due_at, at);
         if was != at || at <= now {
-            self.by_time.remove(&(At(was), id.clone()));
+            self.by_due_time.remove(&(OrderedTime(was), id.clone()));
             if at > now {
-                self.by_time.insert((At(at), id.clone()));
+                self.by_due_time.insert((OrderedTime(at), id.clone()));
             } else {
-                self.next.insert(id.clone());
+                self.changed.insert(id.clone());
             }
         }
     }
 
     /// A query has ended.
-    pub(crate) fn forget(&mut self, id: &RequestId, q: &Held) {
-        self.by_time.remove(&(At(q.due), id.clone()));
+    pub(crate) fn remove(&mut self, id: &RequestId, q: &Held) {
+        self.by_due_time.remove(&(OrderedTime(q.due_at), id.clone()));
         if q.lost == 0 {
             return;
         }
         for t in q.pieces.iter().flat_map(|p| &p.tries).filter(|t| t.outcome == Some(Outcome::ConnectionLost))
         {
-            if let Some(of) = self.lost_at.get_mut(&t.server) {
+            if let Some(of) = self.lost_by_server.get_mut(&t.server) {
                 of.retain(|other| other != id);
                 if of.is_empty() {
-                    self.lost_at.remove(&t.server);
+                    self.lost_by_server.remove(&t.server);
                 }
             }
         }
@@ -81,93 +81,93 @@
 impl Aggregator {
     /// Looks at everything in each turn and keeps no sums, as the plain reading of the decisions has it: to compare with.
     #[doc(hidden)]
-    pub fn look_at_all(&mut self) {
-        self.all = true;
+    pub fn visit_all(&mut self) {
+        self.visits_all = true;
     }
 
     /// How much was looked at so far: queries, pieces, entries of rows.
     #[doc(hidden)]
-    pub fn looks(&self) -> u64 {
-        self.looks.get()
+    pub fn visits(&self) -> u64 {
+        self.visits.get()
     }
 
-    pub(crate) fn looked(&self, n: usize) {
-        self.looks.set(self.looks.get() + n as u64);
+    pub(crate) fn count_visits(&self, n: usize) {
+        self.visits.set(self.visits.get() + n as u64);
     }
 
     /// The queries that this turn looks at.
-    pub(crate) fn due(&mut self) -> BTreeSet<RequestId> {
-        let mut due = self.desk.calendar.take(self.now);
-        if take(&mut self.desk.calendar.recount) || self.all {
-            for (id, q) in &mut self.desk.queries {
+    pub(crate) fn take_due_queries(&mut self) -> BTreeSet<RequestId> {
+        let mut due = self.queries.schedule.take_due(self.now);
+        if take(&mut self.queries.schedule.rebuild_all) || self.visits_all {
+            for (id, q) in &mut self.queries.by_id {
                 for p in &mut q.pieces {
-                    p.housed = !self.fleet.rows.of(p.shard).is_empty();
+                    p.housed = !self.fleet.rows.holders(p.shard).is_empty();
                 }
-                q.recount(&self.set, self.now);
-                self.looks.set(self.looks.get() + q.pieces.len() as u64);
+                q.rebuild_index(&self.set, self.now);
+                self.visits.set(self.visits.get() + q.pieces.len() as u64);
                 due.insert(id.clone());
             }
         }
-        self.looked(due.len());
+        self.count_visits(due.len());
         due
     }
 
     /// Moves on those of a query's pieces that this moment makes late.
-    pub(crate) fn advance(&self, q: &mut Held) {
+    pub(crate) fn update_late_parts(&self, q: &mut Held) {
         let floor = self.late_floor(q);
-        let rose = floor > replace(&mut q.agenda.floor, floor);
+        let rose = floor > replace(&mut q.part_index.late_floor, floor);
         let mut moved: Vec<usize> = Vec::new();
         if rose {
-            moved.extend(q.agenda.late.iter().chain(&q.agenda.late_spent));
+            moved.extend(q.part_index.late.iter().chain(&q.part_index.late_exhausted));
         }
-        while let Some(Reverse((at, i, tries))) = q.agenda.out.peek().copied()
+        while let Some(Reverse((at, i, tries))) = q.part_index.waiting.peek().copied()
             && at.0 - FUZZ <= self.now
         {
-            q.agenda.out.pop();
+            q.part_index.waiting.pop();
             let p = &q.pieces[i];
-            if p.stand == Stand::Out && p.tries.len() == tries {
+            if p.status == PartStatus::Waiting && p.tries.len() == tries {
                 moved.push(i);
             }
         }
-        while let Some((sent, i)) = q.agenda.past.first().copied()
+        while let Some((sent, i)) = q.part_index.beyond_expected.first().copied()
             && self.now - sent.0 > floor
         {
-            q.agenda.past.remove(&(sent, i));
+            q.part_index.beyond_expected.remove(&(sent, i));
             moved.push(i);
         }
-        self.looked(moved.len());
+        self.count_visits(moved.len());
         for i in moved {
-            q.lift(i);
-            q.settle(&self.set, self.now, i);
+            q.unindex_part(i);
+            q.index_part(&self.set, self.now, i);
         }
     }
 
     /// Sends what the turn calls for: of all pieces, or of those that are due.
-    pub(crate) fn run_pieces(&mut self, q: &mut Held, all: bool) {
+    pub(crate) fn run_parts(&mut self, q: &mut Held, all: bool) {
         let (mut from, mut blocked) = (q.step_from, false);
         loop {
-            let i = if all || self.all {
+            let i = if all || self.visits_all {
                 from
             } else {
-                q.next_piece(&self.set, from, blocked).unwrap_or(usize::MAX)
+                q.next_part(&self.set, from, blocked).unwrap_or(usize::MAX)
             };
             if i >= q.pieces.len() {
                 return;
             }
-            self.looked(1);
-            q.lift(i);
+            self.count_visits(1);
+            q.unindex_part(i);
             blocked |= !self.run_piece(q, i);
-            q.settle(&self.set, self.now, i);
+            q.index_part(&self.set, self.now, i);
             from = i + 1;
         }
     }
 
     /// When a query that was looked at now is to be looked at again.
-    pub(crate) fn put_off(&mut self, id: &RequestId, q: &mut Held) {
+    pub(crate) fn schedule_next_visit(&mut self, id: &RequestId, q: &mut Held) {
         let class = &self.set.classes[q.class];
-        let a = &q.agenda;
-        let idle = a.fresh.is_empty() && a.failed.is_empty() && a.late.is_empty();
-        let reserve = !a.reserve.is_empty() && (a.troubled() || q.may_leave(&self.set));
+        let a = &q.part_index;
+        let idle = a.unsent.is_empty() && a.failed.is_empty() && a.late.is_empty();
+        let reserve = !a.reserve.is_empty() && (a.any_failed_or_late() || q.may_omit_parts(&self.set));
         // Where a second step is ahead, what was learned of such moves the moments.
         let ahead = class.second_step && q.first_whole.is_none();
         let mut at = f64::NEG_INFINITY;
@@ -177,24 +177,24 @@
             // The moments of [`Aggregator::reply`]: an answer's useful end is one of the first two.
             let ends = [q.give_up_at - slack, q.asked + class.aim - slack, q.asked + LEAVE_WAIT * class.aim];
             let end = ends.into_iter().filter(|at| at + FUZZ > self.now).fold(f64::INFINITY, f64::min);
-            let out = a.out.peek().map_or(f64::INFINITY, |Reverse((at, ..))| at.0);
-            let late = a.past.first().map_or(f64::INFINITY, |(sent, _)| sent.0 + a.floor);
+            let out = a.waiting.peek().map_or(f64::INFINITY, |Reverse((at, ..))| at.0);
+            let late = a.beyond_expected.first().map_or(f64::INFINITY, |(sent, _)| sent.0 + a.late_floor);
             at = end.min(out).min(late) - FUZZ;
         }
-        self.desk.calendar.put(id, q, at, self.now);
+        self.queries.schedule.set(id, q, at, self.now);
     }
 
     /// Whether a reply may be due: then all pieces are gone through.
     pub(crate) fn may_reply(&self, q: &Held) -> bool {
-        let may = self.all || !q.planned || self.reply_may_be_due(q);
-        self.looked(if may { q.pieces.len() } else { 0 });
+        let may = self.visits_all || !q.planned || self.reply_may_be_due(q);
+        self.count_visits(if may { q.pieces.len() } else { 0 });
         may
     }
 
     /// False only where no reply is due, however the sums were rounded.
     fn reply_may_be_due(&self, q: &Held) -> bool {
-        let (class, t) = (&self.set.classes[q.class], &q.tally);
-        let (drift, pieces) = (t.drift(), q.pieces.len() - q.step_from);
+        let (class, t) = (&self.set.classes[q.class], &q.totals);
+        let (drift, pieces) = (t.max_rounding_error(), q.pieces.len() - q.step_from);
         let slack = REPLY_TICKS * self.set.tick;
         let second_at = self.now + self.second(q) + slack;
         let second = q.first_whole.is_some();
@@ -202,26 +202,26 @@
         let under = |sum: f64, limit: f64| sum + ROUNDING + drift < limit;
         let over = |sum: f64, limit: f64| sum + ROUNDING > limit + drift;
         let in_all = second && t.step_served == pieces;
-        if pieces > 0 && (in_all || !second && !under(t.have, class.need)) {
+        if pieces > 0 && (in_all || !second && !under(t.served_weight, class.need)) {
             return true;
         }
         let spoiled = self.spoiled(q);
-        let possible = t.possible(spoiled, true);
-        if t.step_served > 0 && !under(t.have, class.floor) {
+        let possible = t.possible_weight(spoiled, true);
+        if t.step_served > 0 && !under(t.served_weight, class.floor) {
             let earns = if q.first_whole == Some(false) { 1.0 } else { class.partial_earns };
             let share = earns / class.need.max(ROUNDING);
             let aim_over = second_at >= q.asked + class.aim;
             let can_be_whole = over(possible, if second { 1.0 } else { class.need });
             let waits = self.now < q.asked + LEAVE_WAIT * class.aim;
-            let more = t.possible(spoiled, waits) > t.have + ROUNDING + drift;
+            let more = t.possible_weight(spoiled, waits) > t.served_weight + ROUNDING + drift;
             if second_at >= q.give_up_at
-                || aim_over && !(can_be_whole && (t.have + drift) * share + drift < class.late_worth)
+                || aim_over && !(can_be_whole && (t.served_weight + drift) * share + drift < class.late_worth)
                 || !more
             {
                 return true;
             }
         }
-        let have = t.have > drift;
+        let have = t.served_weight > drift;
         self.now >= q.give_up_at - slack
             || !(second && pieces == 0 || over(possible, class.floor.min(class.need)))
             || spoiled && !have
@@ -230,41 +230,41 @@
 
     /// The weight of what a query would do without, were this piece left out too; from its sums where these tell for sure
     /// that it is, or is not, within a limit. The piece itself is lifted.
-    pub(crate) fn without(&self, q: &Held, i: usize, limit: f64) -> f64 {
-        let sum = q.tally.without + q.pieces[i].weight;
-        if !self.all && (sum - limit).abs() > q.tally.drift() {
+    pub(crate) fn missing_weight_if_omitted(&self, q: &Held, i: usize, limit: f64) -> f64 {
+        let sum = q.totals.missing_weight + q.pieces[i].weight;
+        if !self.visits_all && (sum - limit).abs() > q.totals.max_rounding_error() {
             return sum;
         }
-        self.looked(q.pieces.len());
-        let parts = q.pieces.iter().enumerate().filter(|(j, p)| *j == i || is_without(p, q.max_attempts));
+        self.count_visits(q.pieces.len());
+        let parts = q.pieces.iter().enumerate().filter(|(j, p)| *j == i || is_missing(p, q.max_attempts));
         parts.map(|(_, p)| p.weight).sum()
     }
 
     /// Whether a piece was asked for, and its latest attempt has failed or is late.
-    pub(crate) fn any_troubled(&self, q: &Held) -> bool {
-        if !self.all {
-            return q.agenda.troubled();
+    pub(crate) fn any_failed_or_late(&self, q: &Held) -> bool {
+        if !self.visits_all {
+            return q.part_index.any_failed_or_late();
         }
-        self.looked(q.pieces.len());
+        self.count_visits(q.pieces.len());
         q.pieces.iter().any(|p| self.troubled(q, p))
     }
 
     /// The longest attempt at a piece that is served.
-    pub(crate) fn longest_served(&self, q: &Held) -> Ms {
-        if !self.all {
-            return q.tally.took;
+    pub(crate) fn max_served_time(&self, q: &Held) -> Ms {
+        if !self.visits_all {
+            return q.totals.max_attempt_time;
         }
-        self.looked(q.pieces.len());
+        self.count_visits(q.pieces.len());
         let tries = q.pieces.iter().filter(|p| p.served).flat_map(|p| &p.tries);
         tries.map(|t| t.took).fold(0.0, f64::max)
     }
 
     /// How many attempts lost a connection to a server that is silent since, and how many pieces are served.
-    pub(crate) fn broken_and_served(&self, q: &Held) -> (usize, usize) {
-        if !self.all {
-            return (q.broken, q.tally.served);
+    pub(crate) fn lost_and_served_counts(&self, q: &Held) -> (usize, usize) {
+        if !self.visits_all {
+            return (q.broken, q.totals.served);
         }
-        self.looked(q.pieces.len());
+        self.count_visits(q.pieces.len());
         let lost = |t: &&Try| t.outcome == Some(Outcome::ConnectionLost);
         let tries = q.pieces.iter().flat_map(|p| &p.tries).filter(lost);
         let broken = tries.filter(|t| self.fleet.servers[t.server].went_silent).count();
@@ -272,26 +272,26 @@
     }
 
     /// Makes the rows anew: of these cells, or all.
-    pub(crate) fn make_rows(&mut self, concerned: Option<BTreeSet<usize>>) {
+    pub(crate) fn rebuild_rows(&mut self, concerned: Option<BTreeSet<usize>>) {
         let (cells, reach) = (self.set.cells, self.set.reach);
         let (turned, written) = match concerned {
-            Some(concerned) => self.fleet.mend_rows(&concerned),
-            None => (self.fleet.make_rows(cells, reach), self.fleet.by_name.len()),
+            Some(concerned) => self.fleet.update_rows(&concerned),
+            None => (self.fleet.rebuild_rows(cells, reach), self.fleet.by_name.len()),
         };
-        self.looked(written);
+        self.count_visits(written);
         if turned {
-            self.desk.calendar.all_changed();
+            self.queries.schedule.mark_all_changed();
         }
     }
 
     /// A server has fallen silent, or was heard again: its lost connections tell otherwise of queries now.
-    pub(crate) fn silence_turned(&mut self, server: usize) {
+    pub(crate) fn silence_changed(&mut self, server: usize) {
         let silent = self.fleet.servers[server].went_silent;
-        for id in self.desk.calendar.lost_at.get(&server).into_iter().flatten() {
-            if let Some(q) = self.desk.queries.get_mut(id) {
+        for id in self.queries.schedule.lost_by_server.get(&server).into_iter().flatten() {
+            if let Some(q) = self.queries.by_id.get_mut(id) {
                 q.broken = if silent { q.broken + 1 } else { q.broken - 1 };
-                self.desk.calendar.next.insert(id.clone());
-                self.looks.set(self.looks.get() + 1);
+                self.queries.schedule.changed.insert(id.clone());
+                self.visits.set(self.visits.get() + 1);
             }
         }
     }
--- a/crates/brookbend/src/state.rs
+++ b/crates/brookbend/src/state.rs
@@ -1,8 +1,8 @@
 //! Plain records of what an aggregator knows, without a decision or a tuned value in them.
 
-use crate::agenda::{Agenda, Stand, Tally};
 use crate::api::*;
-use crate::estimates::{OthersLoad, Pace, Work};
+use crate::estimates::{OthersLoad, Pace, WorkEstimate};
+use crate::part_index::{PartIndex, PartStatus, PartTotals};
 use crate::probe::Probes;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -80,7 +80,7 @@
     /// Whether its shard has holders.
     pub(crate) housed: bool,
     /// Where it stood when it was last looked at.
-    pub(crate) stand: Stand,
+    pub(crate) status: PartStatus,
 }
 
 impl Piece {
@@ -114,10 +114,10 @@
     /// Attempts that lost their connection, and those of them whose server is silent since.
     pub(crate) lost: usize,
     pub(crate) broken: usize,
-    pub(crate) agenda: Agenda,
-    pub(crate) tally: Tally,
+    pub(crate) part_index: PartIndex,
+    pub(crate) totals: PartTotals,
     /// When it is to be looked at.
-    pub(crate) due: Ms,
+    pub(crate) due_at: Ms,
 }
 
 pub(crate) struct Flight {
@@ -185,7 +185,7 @@
 pub(crate) struct Learned {
     pub(crate) width: Width,
     /// Work of a part.
-    pub(crate) work: Work,
+    pub(crate) work: WorkEstimate,
     /// The most worth that a query had for its work, in units of work: of a query with one part, its whole worth.
     pub(crate) best_worth: f64,
     /// How long queries took, beyond their forecast.
@@ -256,7 +256,7 @@
             wished: false,
             bundled: 0,
             bundled_work: 0.0,
-            others: OthersLoad::none(),
+            others: OthersLoad::unknown(),
         }
     }
 }
--- a/crates/brookbend/src/view.rs
+++ b/crates/brookbend/src/view.rs
@@ -82,7 +82,7 @@
 
     /// Queries that were refused on arrival, and why.
     pub fn refusals(&self) -> Refusals {
-        self.desk.refusals
+        self.queries.refusals
     }
 
     /// How many servers it holds records of.
--- a/crates/brookbend/tests/cold_sum.rs
+++ b/crates/brookbend/tests/cold_sum.rs
@@ -115,7 +115,7 @@
         };
         let warm: Vec<String> = (1..site.replicas).map(|n| format!("b{n}")).collect();
         let restarted = Member { started: Some(start), ..member("c", 0) };
-        let mut s = Stand::new(set.clone(), 0);
+        let mut s = Harness::new(set.clone(), 0);
         s.a = Aggregator::new(set, self.seed ^ (31 + rank as u64));
         s.now = if start > 0.0 { 0.0 } else { late };
         let at_first: Vec<Member> = warm
--- a/crates/brookbend/tests/cold_turns.rs
+++ b/crates/brookbend/tests/cold_turns.rs
@@ -100,7 +100,7 @@
     for rank in 0..aggregators {
         let rate = site.parts_per_s() / 1000.0 * weight(rank) / all;
         let mut chance = Chance(Pcg64Mcg::seed_from_u64(977 * rank as u64 + aggregators as u64));
-        let mut s = Stand::new(set.clone(), 0);
+        let mut s = Harness::new(set.clone(), 0);
         s.a = Aggregator::new(set.clone(), 31 + rank as u64);
         let mut list: Vec<Member> = warm.iter().map(|n| member(n, 0)).chain([member("c", 0)]).collect();
         list.extend(["d", "e", "f"].into_iter().filter(|_| in_part).map(|n| member(n, 1)));
@@ -234,7 +234,7 @@
 #[test]
 fn what_a_cold_server_answers_tells_nothing_of_a_warm_one() {
     let set = Settings { aggregators: 1, cells: 2, reach: 1, shards: 2, cold: RULE, ..ring() };
-    let mut s = Stand::new(set, 0);
+    let mut s = Harness::new(set, 0);
     let list = vec![Member { started: Some(0.0), ..member("cold", 0) }, member("warm", 1)];
     s.step(5.0, vec![Event::List { kind: ListKind::Complete, members: list }]);
     let (mut answered, mut out) = (0, Vec::new());
--- a/crates/brookbend/tests/common/mod.rs
+++ b/crates/brookbend/tests/common/mod.rs
@@ -62,20 +62,20 @@
     Member { node: node(name), cell, state: NodeState::Serving, zone: None, started: None }
 }
 
-pub struct Stand {
+pub struct Harness {
     pub a: Aggregator,
     pub now: Ms,
     wake_at: Ms,
     group: u64,
 }
 
-impl Stand {
+impl Harness {
     /// An aggregator that has read a list with so many servers a cell: `c0n0`, `c0n1`, `c1n0` and so on.
-    pub fn new(settings: Settings, per_cell: usize) -> Stand {
+    pub fn new(settings: Settings, per_cell: usize) -> Harness {
         let names = (0..settings.cells).flat_map(|c| (0..per_cell).map(move |n| (format!("c{c}n{n}"), c)));
         let members = names.map(|(name, cell)| member(&name, cell)).collect();
         let a = Aggregator::new(settings, 11);
-        let mut stand = Stand { a, now: 0.0, wake_at: f64::INFINITY, group: 0 };
+        let mut stand = Harness { a, now: 0.0, wake_at: f64::INFINITY, group: 0 };
         stand.batch(0.0, vec![Event::List { kind: ListKind::Disk, members }]);
         stand
     }
--- a/crates/brookbend/tests/left_out.rs
+++ b/crates/brookbend/tests/left_out.rs
@@ -7,7 +7,7 @@
 
 /// Four cells of one server; class 0 needs all parts, class 1 may be answered from half of them. The server of cell 0 has
 /// turned away so many parts in a row.
-fn stand(turned_away: u32) -> Stand {
+fn stand(turned_away: u32) -> Harness {
     let partial = Class { floor: 0.5, ..class() };
     let set = Settings {
         cells: 4,
@@ -17,7 +17,7 @@
         classes: vec![class(), partial],
         ..ring()
     };
-    let mut s = Stand::new(set, 1);
+    let mut s = Harness::new(set, 1);
     for k in 0..turned_away {
         let sent = sends(&s.ask(&format!("full{k}"), &[0]));
         assert_eq!(sent.len(), 1);
@@ -30,12 +30,12 @@
     s
 }
 
-fn ask_partial(s: &mut Stand, shards: &[usize]) -> Vec<String> {
+fn ask_partial(s: &mut Harness, shards: &[usize]) -> Vec<String> {
     let events = s.query("q", 1, shards, 4000.0);
     sends(&s.step(5.0, events)).into_iter().map(|t| t.0).collect()
 }
 
-fn serve(s: &mut Stand, parts: &[String]) -> Vec<Action> {
+fn serve(s: &mut Harness, parts: &[String]) -> Vec<Action> {
     s.step(20.0, parts.iter().map(|p| ended(p, 0, Outcome::Served, 20.0)).collect())
 }
 
--- a/crates/brookbend/tests/lost_alone.rs
+++ b/crates/brookbend/tests/lost_alone.rs
@@ -7,9 +7,9 @@
 
 /// Four cells of two servers, all of which take more of the aim for an answer than what is merely slow is
 /// called off for.
-fn slow_fleet() -> Stand {
+fn slow_fleet() -> Harness {
     let set = Settings { cells: 4, reach: 1, shards: 4, second_copies: false, ..ring() };
-    let mut s = Stand::new(set, 2);
+    let mut s = Harness::new(set, 2);
     for k in 0..160 {
         let parts = sends(&s.ask(&format!("before{k}"), &[k % 4]));
         s.step(160.0, parts.iter().map(|p| ended(&p.0, 0, Outcome::Served, 160.0)).collect());
@@ -18,7 +18,7 @@
 }
 
 /// The time at which a part is called off, in steps of 10 ms up to so many.
-fn called_off(s: &mut Stand, steps: usize) -> Option<usize> {
+fn called_off(s: &mut Harness, steps: usize) -> Option<usize> {
     (0..steps).find(|_| s.step(10.0, vec![]).iter().any(|a| matches!(a, Action::Cancel { .. })))
 }
 
--- a/crates/brookbend/tests/module.rs
+++ b/crates/brookbend/tests/module.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn on_a_ring_neighbouring_shards_meet_at_one_server() {
-    let mut s = Stand::new(Settings { call_work: 10.0, ..ring() }, 1);
+    let mut s = Harness::new(Settings { call_work: 10.0, ..ring() }, 1);
     let actions = s.ask("q", &[0, 1, 2, 3, 4, 5]);
     let sent = sends(&actions);
     assert_eq!(sent.len(), 6);
@@ -37,7 +37,7 @@
 
 #[test]
 fn in_a_set_one_row_serves_all_parts_of_a_cell() {
-    let mut s = Stand::new(Settings { call_work: 10.0, ..sets() }, 3);
+    let mut s = Harness::new(Settings { call_work: 10.0, ..sets() }, 3);
     let sent = sends(&s.ask("q", &[0, 1, 2, 3, 4, 5]));
     for cell in ["c0", "c1"] {
         let nodes: BTreeSet<_> = sent.iter().filter(|t| t.1.starts_with(cell)).map(|t| &t.1).collect();
@@ -48,7 +48,7 @@
 /// The second part of a cell does not leave its row for the work of the first: they share a call.
 #[test]
 fn heavy_parts_of_a_cell_share_a_call() {
-    let mut s = Stand::new(Settings { call_work: 60.0, ..sets() }, 4);
+    let mut s = Harness::new(Settings { call_work: 60.0, ..sets() }, 4);
     for k in 0..10 {
         let sent = sends(&s.ask(&format!("q{k}"), &[0, 2, 4]));
         let nodes: BTreeSet<_> = sent.iter().map(|t| &t.1).collect();
@@ -59,7 +59,7 @@
 
 #[test]
 fn rows_are_picked_at_random() {
-    let mut s = Stand::new(sets(), 3);
+    let mut s = Harness::new(sets(), 3);
     let mut seen = BTreeSet::new();
     for k in 0..30 {
         let name = format!("q{k}");
@@ -72,7 +72,7 @@
 
 #[test]
 fn uneven_and_empty_cells_are_served_by_what_there_is() {
-    let mut s = Stand::new(ring(), 1);
+    let mut s = Harness::new(ring(), 1);
     let gone = |n: &str, c| Member { state: NodeState::Gone, ..member(n, c) };
     let members = vec![gone("c1n0", 1), gone("c2n0", 2), member("c0n1", 0)];
     s.step(5.0, vec![Event::List { kind: ListKind::Changes, members }]);
@@ -85,7 +85,7 @@
 fn width_narrows_with_full_answers_and_widens_without() {
     // How many servers a query of six neighbouring shards meets tells its width: 6 servers for one row.
     let set = || Settings { max_attempts: 1, call_work: 10.0, ..ring() };
-    let mut s = Stand::new(set(), 1);
+    let mut s = Harness::new(set(), 1);
     let before = sends(&s.ask("before", &[0, 1, 2, 3, 4, 5]));
     let wide = before.iter().map(|t| &t.1).collect::<BTreeSet<_>>().len();
     s.step(5.0, before.iter().map(|t| ended(&t.0, 0, Outcome::Served, 5.0)).collect());
@@ -93,7 +93,7 @@
         let sent = sends(&s.ask(&format!("f{k}"), &[0]));
         s.step(500.0, vec![ended(&sent[0].0, 0, Outcome::Full, 5.0)]);
     }
-    let mut t = Stand::new(set(), 1);
+    let mut t = Harness::new(set(), 1);
     for k in 0..12 {
         let sent = sends(&t.ask(&format!("f{k}"), &[0]));
         t.step(500.0, vec![ended(&sent[0].0, 0, Outcome::Served, 5.0)]);
@@ -109,7 +109,7 @@
 
 #[test]
 fn a_silent_server_is_passed_over_before_any_time_out() {
-    let mut s = Stand::new(ring(), 1);
+    let mut s = Harness::new(ring(), 1);
     for k in 0..6 {
         let sent = sends(&s.ask(&format!("w{k}"), &[0]));
         s.step(40.0, vec![ended(&sent[0].0, 0, Outcome::Served, 40.0)]);
@@ -125,7 +125,7 @@
 
 #[test]
 fn a_server_of_quick_errors_is_ejected_and_tried_again_later() {
-    let mut s = Stand::new(ring(), 1);
+    let mut s = Harness::new(ring(), 1);
     let first = s.traffic(60, &["c1n0"], Outcome::Error)["c1n0"];
     assert!(first < 20, "{first} of 60 queries met the failing server");
     for _ in 0..100 {
@@ -139,14 +139,14 @@
 fn the_last_holder_is_used_however_it_looks() {
     let mut set = ring();
     set.reach = 1;
-    let mut s = Stand::new(set, 1);
+    let mut s = Harness::new(set, 1);
     s.traffic(1, &["c0n0"], Outcome::Error); // three attempts: enough to be ejected
     assert_eq!(servers(&s.ask("q", &[0])), BTreeSet::from(["c0n0".to_string()]));
 }
 
 #[test]
 fn hints_that_lie_do_not_refuse_a_query() {
-    let mut s = Stand::new(ring(), 1);
+    let mut s = Harness::new(ring(), 1);
     let mut events = s.query("q", 0, &[0, 1], 4000.0);
     for e in &mut events {
         if let Event::Part(p) = e {
@@ -162,7 +162,7 @@
 
 #[test]
 fn an_overdue_part_gets_a_second_copy_elsewhere() {
-    let mut s = Stand::new(ring(), 1);
+    let mut s = Harness::new(ring(), 1);
     let first = sends(&s.ask("q", &[0]));
     let mut copies = Vec::new();
     for _ in 0..60 {
@@ -176,7 +176,7 @@
 /// time the overdue one is called off first, and only what that proves lets another go.
 #[test]
 fn an_overdue_part_is_called_off_and_sent_elsewhere_where_no_copy_is_allowed() {
-    let mut s = Stand::new(Settings { second_copies: false, ..ring() }, 1);
+    let mut s = Harness::new(Settings { second_copies: false, ..ring() }, 1);
     let first = sends(&s.ask("q", &[0]));
     let cancel = Action::Cancel { part: id("q.0"), attempt: 0 };
     let late = (0..60).map(|_| s.step(10.0, vec![])).find(|actions| actions.contains(&cancel)).unwrap();
@@ -190,7 +190,7 @@
 /// On a calm day an answer that takes somewhat longer than forecast is on its way: to call it off wastes its work.
 #[test]
 fn what_is_merely_slow_is_not_called_off() {
-    let mut s = Stand::new(Settings { second_copies: false, ..ring() }, 1);
+    let mut s = Harness::new(Settings { second_copies: false, ..ring() }, 1);
     // Three holders, three parts each: the last waits behind two others, and then sees all holders idle.
     let parts: Vec<_> = (0..9).flat_map(|n| sends(&s.ask(&format!("t{n}"), &[0]))).collect();
     let ends = parts[..8].iter().map(|(part, _, _)| ended(part, 0, Outcome::Served, 100.0)).collect();
@@ -208,7 +208,7 @@
 #[test]
 fn a_holder_in_our_own_zone_is_preferred_where_it_is_not_behind() {
     let set = Settings { zone: Some(1), cells: 1, reach: 1, batch: 1, ..ring() };
-    let mut s = Stand::new(set, 0);
+    let mut s = Harness::new(set, 0);
     let zoned = |n: usize| Member { zone: Some(n), ..member(&format!("z{n}"), 0) };
     let members = (0..3).map(zoned).collect();
     s.step(5.0, vec![Event::List { kind: ListKind::Complete, members }]);
@@ -228,7 +228,7 @@
 
 #[test]
 fn no_second_copy_where_none_is_allowed() {
-    let mut s = Stand::new(Settings { second_copies: false, cancel: false, ..ring() }, 1);
+    let mut s = Harness::new(Settings { second_copies: false, cancel: false, ..ring() }, 1);
     s.ask("q", &[0]);
     for _ in 0..60 {
         assert!(sends(&s.step(10.0, vec![])).is_empty());
@@ -237,7 +237,7 @@
 
 #[test]
 fn attempts_stop_at_the_cap_and_the_query_ends_at_once() {
-    let mut s = Stand::new(ring(), 1);
+    let mut s = Harness::new(ring(), 1);
     let mut open = sends(&s.ask("q", &[0]));
     let mut count = 0;
     let mut last = Vec::new();
@@ -253,7 +253,7 @@
 #[test]
 fn rule_budget_is_kept_in_every_window() {
     let budget = AttemptBudget { spare: 2.0, per_request: 0.1, span: 1000.0 };
-    let mut s = Stand::new(Settings { budget: Some(budget), ..ring() }, 1);
+    let mut s = Harness::new(Settings { budget: Some(budget), ..ring() }, 1);
     let (mut taken, mut extras): (Vec<Ms>, Vec<Ms>) = (Vec::new(), Vec::new());
     let mut tries = std::collections::BTreeMap::<String, u32>::new();
     for k in 0..400 {
@@ -284,7 +284,7 @@
 
 #[test]
 fn rule_one_final_answer_before_the_clients_time_is_up() {
-    let mut s = Stand::new(ring(), 1);
+    let mut s = Harness::new(ring(), 1);
     let mut all = Vec::new();
     let events = s.query("q", 0, &[0, 1], 1500.0);
     all.extend(finals(&s.step(5.0, events)));
@@ -300,7 +300,7 @@
 #[test]
 fn rule_unsafe_parts_are_not_repeated_once_they_may_have_run() {
     let class = Class { semantics: Semantics::Unsafe, ..class() };
-    let mut s = Stand::new(Settings { classes: vec![class], ..ring() }, 1);
+    let mut s = Harness::new(Settings { classes: vec![class], ..ring() }, 1);
     s.ask("q", &[0]);
     let again = s.step(5.0, vec![ended("q.0", 0, Outcome::Full, 5.0)]);
     assert_eq!(sends(&again).len(), 1, "turned away: it never ran");
@@ -317,7 +317,7 @@
     let class = Class { semantics: Semantics::Keyed { window: 300.0 }, ..class() };
     for (wait, expected) in [(100.0, 1), (400.0, 0)] {
         let set = Settings { classes: vec![class.clone()], second_copies: false, ..ring() };
-        let mut s = Stand::new(set, 1);
+        let mut s = Harness::new(set, 1);
         s.ask("q", &[0]);
         assert_eq!(sends(&s.step(wait, vec![ended("q.0", 0, Outcome::Error, wait)])).len(), expected);
     }
@@ -325,7 +325,7 @@
 
 #[test]
 fn rule_nothing_goes_to_a_draining_or_missing_server() {
-    let mut s = Stand::new(ring(), 1);
+    let mut s = Harness::new(ring(), 1);
     let members = vec![Member { state: NodeState::Draining, ..member("c0n0", 0) }];
     s.step(5.0, vec![Event::List { kind: ListKind::Changes, members }]);
     assert!(!s.traffic(40, &[], Outcome::Served).contains_key("c0n0"));
@@ -337,7 +337,7 @@
 
 #[test]
 fn rule_a_cold_server_gets_its_allowance_and_no_more() {
-    let mut s = Stand::new(ring(), 1);
+    let mut s = Harness::new(ring(), 1);
     let started = Some(s.now);
     let members = vec![Member { started, ..member("c1n0", 1) }];
     s.step(5.0, vec![Event::List { kind: ListKind::Changes, members }]);
@@ -357,7 +357,7 @@
 #[test]
 fn rule_answers_are_honest() {
     let class = Class { floor: 0.5, late_worth: 0.0, ..class() };
-    let mut s = Stand::new(Settings { classes: vec![class], max_attempts: 1, ..ring() }, 1);
+    let mut s = Harness::new(Settings { classes: vec![class], max_attempts: 1, ..ring() }, 1);
     s.ask("q", &[0, 1, 2, 3]);
     let one = s.step(10.0, vec![ended("q.0", 0, Outcome::Served, 10.0)]);
     assert!(finals(&one).is_empty());
@@ -374,7 +374,7 @@
 #[test]
 fn any_k_asks_just_enough_and_the_rest_when_one_fails() {
     let class = Class { need: 0.67, floor: 0.67, ..class() };
-    let mut s = Stand::new(Settings { classes: vec![class], ..ring() }, 1);
+    let mut s = Harness::new(Settings { classes: vec![class], ..ring() }, 1);
     let sent = sends(&s.ask("q", &[0, 1, 2, 3, 4, 5]));
     assert_eq!(sent.len(), 5);
     let more = sends(&s.step(10.0, vec![ended(&sent[0].0, 0, Outcome::Error, 10.0)]));
@@ -389,7 +389,7 @@
 #[test]
 fn a_second_step_is_served_and_needs_all_its_parts() {
     let class = Class { second_step: true, ..class() };
-    let mut s = Stand::new(Settings { classes: vec![class], ..ring() }, 1);
+    let mut s = Harness::new(Settings { classes: vec![class], ..ring() }, 1);
     s.ask("q", &[0]);
     assert_eq!(finals(&s.step(20.0, vec![ended("q.0", 0, Outcome::Served, 20.0)])), vec![whole("q")]);
     let part = |n: &str| Event::Part(Part { id: id(n), group: 1, shard: 0, weight: 0.5, work_hint: None });
@@ -403,7 +403,7 @@
 #[test]
 fn time_outs_make_admission_refuse_with_advice() {
     let class = Class { late_worth: 0.0, ..class() };
-    let mut s = Stand::new(Settings { classes: vec![class], second_copies: false, ..ring() }, 1);
+    let mut s = Harness::new(Settings { classes: vec![class], second_copies: false, ..ring() }, 1);
     let mut turned_down = 0;
     for k in 0..200 {
         let name = format!("q{k}");
@@ -417,7 +417,7 @@
 }
 
 /// Asks so many single-part queries in a row that are answered at once; they show the usual patience.
-fn usual(s: &mut Stand, n: usize, patience: Ms) {
+fn usual(s: &mut Harness, n: usize, patience: Ms) {
     for k in 0..n {
         let events = s.query(&format!("u{k}-{patience}"), 0, &[0], patience);
         let sent = sends(&s.step(5.0, events));
@@ -426,7 +426,7 @@
 }
 
 /// A query whose attempts all fail at once; says when it came.
-fn unserved(s: &mut Stand, name: &str) -> Ms {
+fn unserved(s: &mut Harness, name: &str) -> Ms {
     let events = s.query(name, 0, &[0], 3500.0);
     let mut actions = s.step(5.0, events);
     let came = s.now;
@@ -443,7 +443,7 @@
 fn a_repeat_past_its_aim_is_told_by_its_shortened_time() {
     // The client's whole patience is 4000: with 2000 left of a usual 3500 it first asked 2000 ago.
     let class = Class { late_worth: 0.0, ..class() };
-    let mut s = Stand::new(Settings { classes: vec![class], ..ring() }, 1);
+    let mut s = Harness::new(Settings { classes: vec![class], ..ring() }, 1);
     usual(&mut s, 20, 3500.0);
     let came = unserved(&mut s, "lost");
     s.step(came + 1995.0 - s.now, vec![]);
@@ -458,7 +458,7 @@
 #[test]
 fn clients_that_turn_impatient_are_not_taken_for_repeats() {
     let class = Class { late_worth: 0.0, ..class() };
-    let mut s = Stand::new(Settings { classes: vec![class], ..ring() }, 1);
+    let mut s = Harness::new(Settings { classes: vec![class], ..ring() }, 1);
     usual(&mut s, 20, 3500.0);
     let came = unserved(&mut s, "lost");
     s.step(came + 1900.0 - s.now, vec![]);
@@ -469,7 +469,7 @@
 #[test]
 fn one_patient_client_does_not_make_all_others_repeats() {
     let class = Class { late_worth: 0.0, ..class() };
-    let mut s = Stand::new(Settings { classes: vec![class], ..ring() }, 1);
+    let mut s = Harness::new(Settings { classes: vec![class], ..ring() }, 1);
     usual(&mut s, 10, 2500.0);
     usual(&mut s, 1, 4000.0);
     let events = s.query("q", 0, &[0], 2500.0);
@@ -482,7 +482,7 @@
     // worth leaves this one the least share of its time.
     let poor = Class { late_worth: 0.0, ..class() };
     let rich = Class { worth: 50.0, ..poor.clone() };
-    let mut s = Stand::new(Settings { classes: vec![poor, rich], max_attempts: 1, ..ring() }, 1);
+    let mut s = Harness::new(Settings { classes: vec![poor, rich], max_attempts: 1, ..ring() }, 1);
     let events = s.query("rich", 1, &[0], 4000.0);
     let sent = sends(&s.step(5.0, events));
     s.step(20.0, vec![ended(&sent[0].0, 0, Outcome::Served, 20.0)]);
@@ -501,7 +501,7 @@
 fn sent_after_silence(silence: Ms, connected: Option<Ms>) -> usize {
     let mut set = ring();
     (set.cells, set.reach, set.max_attempts) = (1, 1, 1);
-    let mut s = Stand::new(set, 1);
+    let mut s = Harness::new(set, 1);
     usual(&mut s, 10, 4000.0);
     for k in 0..6 {
         s.ask(&format!("q{k}"), &[0]);
@@ -540,7 +540,7 @@
 fn a_part_lost_on_its_own_does_not_mark_its_server() {
     let mut set = ring();
     (set.cells, set.reach, set.second_copies) = (1, 1, false);
-    let mut s = Stand::new(set, 2);
+    let mut s = Harness::new(set, 2);
     // Both servers keep one part unanswered, and answer all others.
     let mut lost = BTreeSet::new();
     for k in 0..60 {
@@ -569,7 +569,7 @@
 
 #[test]
 fn odd_events_are_ignored_or_answered_by_the_rules() {
-    let mut s = Stand::new(ring(), 1);
+    let mut s = Harness::new(ring(), 1);
     let stray = vec![
         ended("nobody", 7, Outcome::Served, f64::NAN),
         Event::Gone(id("nobody")),
@@ -592,14 +592,14 @@
 
 #[test]
 fn a_query_for_a_shard_without_holders_is_refused_at_once() {
-    let mut a = Stand::new(ring(), 0);
+    let mut a = Harness::new(ring(), 0);
     assert_eq!(finals(&a.ask("q", &[0])), vec![refused("q")]);
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut s = Stand::new(ring(), 2);
+        let mut s = Harness::new(ring(), 2);
         let mut all = Vec::new();
         for k in 0..50 {
             let actions = s.ask(&format!("q{k}"), &[k % 6, (k + 1) % 6, (k + 2) % 6]);
@@ -616,7 +616,7 @@
 #[test]
 fn the_module_is_short_enough_to_read_aloud() {
     let text = include_str!("../src/choice.rs");
-    let policy = [text, include_str!("../src/room.rs")];
+    let policy = [text, include_str!("../src/retry_advice.rs")];
     let lines = policy.iter().flat_map(|t| t.lines()).filter(|l| !l.trim().is_empty()).count();
     assert!(lines <= 1000, "{lines} lines that are not blank");
     for (n, line) in text.lines().enumerate() {
@@ -632,10 +632,10 @@
     let set = Settings { aggregators, cells: 1, reach: 1, ..ring() };
     let mut work = 0.0;
     for seed in 0..aggregators {
-        let mut s = Stand::new(set.clone(), 0);
+        let mut s = Harness::new(set.clone(), 0);
         s.a = Aggregator::new(set.clone(), seed as u64 * 7919 + 1);
         s.step(5.0, vec![Event::List { kind: ListKind::Complete, members: vec![member("warm", 0)] }]);
-        let mut ask_for = |s: &mut Stand, span: Ms| {
+        let mut ask_for = |s: &mut Harness, span: Ms| {
             let end = s.now + span;
             s.step(every * seed as f64 / aggregators as f64, vec![]);
             while s.now < end {
@@ -674,7 +674,7 @@
 fn own_pause_blames_no_server() {
     // The same outcomes, seen in time or after this aggregator stood still.
     let met = |pause: bool| {
-        let mut s = Stand::new(ring(), 1);
+        let mut s = Harness::new(ring(), 1);
         usual(&mut s, 10, 4000.0);
         let sent = sends(&s.ask("q", &[0, 6, 12, 18]));
         let events = sent.iter().map(|t| ended(&t.0, 0, Outcome::TimedOut, 900.0)).collect();
@@ -695,7 +695,7 @@
 fn a_copy_goes_sooner_where_the_copy_is_quick() {
     // Two aggregators whose attempt is out equally long; one of them has filled the other holder.
     let wait = |filled: bool| {
-        let mut s = Stand::new(Settings { cells: 1, reach: 1, ..ring() }, 2);
+        let mut s = Harness::new(Settings { cells: 1, reach: 1, ..ring() }, 2);
         usual(&mut s, 20, 4000.0);
         let first = sends(&s.ask("q", &[0]))[0].clone();
         if filled {
@@ -716,7 +716,7 @@
 
 #[test]
 fn a_server_that_cannot_be_reached_is_passed_over_at_once_and_longer_each_time() {
-    let mut s = Stand::new(ring(), 1);
+    let mut s = Harness::new(ring(), 1);
     usual(&mut s, 12, 4000.0);
     // How long until it is met again after each refused connection, with traffic all the time.
     let mut gaps = Vec::new();
@@ -741,7 +741,7 @@
 fn a_zone_that_falls_silent_is_met_at_a_few_servers_only() {
     // Shard s of cell s alone, two holders each: one in the silent zone, one in the other.
     let silent_sends = |zones: bool| {
-        let mut s = Stand::new(Settings { cells: 12, reach: 1, aggregators: 1, ..ring() }, 0);
+        let mut s = Harness::new(Settings { cells: 12, reach: 1, aggregators: 1, ..ring() }, 0);
         let zone = |z| zones.then_some(z);
         let members = (0..12).flat_map(|c| {
             let here = Member { zone: zone(0), ..member(&format!("here{c}"), c) };
@@ -766,7 +766,7 @@
 
 /// The advice on a query of this class that no server can take, with so much of its time gone already.
 fn advice(class: Class, most: Ms) -> Option<Ms> {
-    let mut s = Stand::new(Settings { classes: vec![class], max_retry_after: Some(most), ..ring() }, 0);
+    let mut s = Harness::new(Settings { classes: vec![class], max_retry_after: Some(most), ..ring() }, 0);
     match finals(&s.ask("q", &[0])).as_slice() {
         [Action::Refuse { retry_after, .. }] => *retry_after,
         other => panic!("{other:?}"),
@@ -786,7 +786,7 @@
     // All attempts may have run; the class's window is long or over by the time a client would be back.
     let last = |window: Ms| {
         let class = Class { semantics: Semantics::Keyed { window }, ..class() };
-        let mut s = Stand::new(Settings { classes: vec![class], max_attempts: 1, ..ring() }, 1);
+        let mut s = Harness::new(Settings { classes: vec![class], max_attempts: 1, ..ring() }, 1);
         s.ask("q", &[0]);
         finals(&s.step(200.0, vec![ended("q.0", 0, Outcome::Error, 200.0)]))
     };
@@ -808,7 +808,7 @@
 
 #[test]
 fn a_batch_between_the_first_answer_and_its_parts_ends_nothing() {
-    let mut s = Stand::new(two_steps(), 1);
+    let mut s = Harness::new(two_steps(), 1);
     s.ask("q", &[0]);
     assert_eq!(finals(&s.step(20.0, vec![ended("q.0", 0, Outcome::Served, 20.0)])), vec![whole("q")]);
     assert!(finals(&s.step(5.0, vec![])).is_empty(), "its parts are still on their way");
@@ -817,7 +817,7 @@
 
 #[test]
 fn a_partial_first_answer_leaves_the_second_step_its_time() {
-    let mut s = Stand::new(two_steps(), 1);
+    let mut s = Harness::new(two_steps(), 1);
     // Second steps take 300 of an aim of 1000 here.
     for k in 1..30 {
         let name = format!("u{k}");
@@ -838,7 +838,7 @@
 fn a_partial_answer_waits_for_what_may_still_come() {
     // One part of four is out of attempts early; the others are merely slower.
     let class = Class { floor: 0.5, late_worth: 0.0, ..class() };
-    let mut s = Stand::new(Settings { classes: vec![class], max_attempts: 1, ..ring() }, 1);
+    let mut s = Harness::new(Settings { classes: vec![class], max_attempts: 1, ..ring() }, 1);
     s.ask("q", &[0, 1, 2, 3]);
     let served = |n: &str| ended(n, 0, Outcome::Served, 20.0);
     let early = vec![ended("q.0", 0, Outcome::Error, 20.0), served("q.1"), served("q.2")];
@@ -851,7 +851,7 @@
 
 #[test]
 fn a_server_that_turns_all_away_is_passed_over_longer_each_time() {
-    let mut s = Stand::new(ring(), 1);
+    let mut s = Harness::new(ring(), 1);
     usual(&mut s, 12, 4000.0);
     let mut met = Vec::new();
     for k in 0..1500 {
@@ -868,7 +868,7 @@
 
 #[test]
 fn one_very_slow_answer_is_enough_to_leave_a_row_holder() {
-    let mut s = Stand::new(ring(), 1);
+    let mut s = Harness::new(ring(), 1);
     let slow = sends(&s.ask("slow", &[0]))[0].clone();
     s.step(280.0, vec![ended(&slow.0, 0, Outcome::Served, 280.0)]);
     for k in 0..12 {
@@ -881,14 +881,14 @@
 #[test]
 fn a_load_report_moves_parts_to_a_holder_that_others_left_idle() {
     let met = |held: f64| {
-        let mut s = Stand::new(Settings { cells: 1, reach: 1, ..ring() }, 2);
+        let mut s = Harness::new(Settings { cells: 1, reach: 1, ..ring() }, 2);
         usual(&mut s, 4, 4000.0);
         let (part, filled, _) = sends(&s.ask("q", &[0]))[0].clone();
         let served = Outcome::Served;
         let report =
             Event::Ended { part: id(&part), attempt: 0, outcome: served, elapsed: 20.0, load: Some(held) };
         s.step(20.0, vec![report]);
-        let count = |s: &mut Stand, n: usize| {
+        let count = |s: &mut Harness, n: usize| {
             let met = (0..n).map(|k| {
                 let sent = sends(&s.ask(&format!("n{k}-{}", s.now), &[0]));
                 s.step(20.0, vec![ended(&sent[0].0, 0, Outcome::Served, 20.0)]);
@@ -909,13 +909,13 @@
 fn rule_one_that_carries_most_fills_a_cold_server_by_what_warm_ones_served() {
     // One of sixty aggregators carries nearly all: its even part would be a part in ten seconds.
     let set = Settings { aggregators: 60, cells: 1, reach: 1, ..ring() };
-    let mut s = Stand::new(set, 0);
+    let mut s = Harness::new(set, 0);
     let warm = |n: &str| member(n, 0);
     s.step(
         5.0,
         vec![Event::List { kind: ListKind::Complete, members: vec![warm("a"), warm("b"), warm("c")] }],
     );
-    let count = |s: &mut Stand, seconds: usize, cold: &str| -> (usize, usize) {
+    let count = |s: &mut Harness, seconds: usize, cold: &str| -> (usize, usize) {
         let mut met = (0, 0);
         for k in 0..seconds * 40 {
             let sent = sends(&s.ask(&format!("q{}-{k}", s.now), &[0]));
@@ -939,7 +939,7 @@
 
 #[test]
 fn a_query_whose_attempts_break_connections_is_not_tried_further() {
-    let mut s = Stand::new(ring(), 1);
+    let mut s = Harness::new(ring(), 1);
     let sent = sends(&s.ask("bad", &[0, 1, 2, 3]));
     let broke = |n: usize| ended(&sent[n].0, 0, Outcome::ConnectionLost, 20.0);
     let first = s.step(20.0, vec![broke(0), broke(1)]);
@@ -951,7 +951,7 @@
 
 #[test]
 fn broken_connections_among_answers_are_tried_again() {
-    let mut s = Stand::new(ring(), 1);
+    let mut s = Harness::new(ring(), 1);
     let sent = sends(&s.ask("good", &[0, 1, 2, 3, 4, 5]));
     let outcome = |n: usize| if n < 2 { Outcome::ConnectionLost } else { Outcome::Served };
     let events = (0..6).map(|n| ended(&sent[n].0, 0, outcome(n), 20.0)).collect();
@@ -961,7 +961,7 @@
 #[test]
 fn a_server_that_fails_one_class_is_left_by_that_class_alone() {
     let set = Settings { classes: vec![class(), class()], second_copies: false, ..ring() };
-    let mut s = Stand::new(set, 1);
+    let mut s = Harness::new(set, 1);
     let sick = "c1n0";
     let mut met = [0, 0];
     for k in 0..200 {
@@ -985,7 +985,7 @@
 #[test]
 fn a_query_is_refused_at_once_while_all_holders_of_a_shard_turn_parts_away() {
     let class = Class { late_worth: 0.0, ..class() };
-    let mut s = Stand::new(Settings { classes: vec![class], cells: 1, reach: 1, ..ring() }, 2);
+    let mut s = Harness::new(Settings { classes: vec![class], cells: 1, reach: 1, ..ring() }, 2);
     usual(&mut s, 10, 4000.0);
     // Each time both holders turn a part away they are passed over for longer.
     let mut last = vec![];
@@ -1006,7 +1006,7 @@
 /// A server that is passed over gets nothing, so that it looks idle: a query must not be taken for its sake.
 #[test]
 fn a_query_is_refused_while_the_holders_that_it_would_go_to_are_filled() {
-    let mut s = Stand::new(Settings { cells: 1, reach: 1, second_copies: false, ..ring() }, 3);
+    let mut s = Harness::new(Settings { cells: 1, reach: 1, second_copies: false, ..ring() }, 3);
     let dead = "c0n0";
     for k in 0..12 {
         let sent = sends(&s.ask(&format!("w{k}"), &[0]));
@@ -1015,7 +1015,7 @@
         s.step(5.0, sends(&more).iter().map(|t| ended(&t.0, 1, Outcome::Served, 20.0)).collect());
     }
     let dead =
-        |s: &Stand| s.a.views(s.now).iter().any(|v| v.ejected_until.is_some_and(|until| until > s.now));
+        |s: &Harness| s.a.views(s.now).iter().any(|v| v.ejected_until.is_some_and(|until| until > s.now));
     assert!(dead(&s), "one is passed over");
     let all: Vec<Vec<Action>> = (0..60).map(|k| s.ask(&format!("q{k}"), &[0])).collect();
     assert!(dead(&s), "and still is");
@@ -1026,7 +1026,7 @@
 /// Over a long day every server is replaced again and again under new names: nothing may grow with them.
 #[test]
 fn servers_that_are_gone_are_forgotten_once_nothing_refers_to_them() {
-    let mut s = Stand::new(Settings { cells: 1, reach: 1, ..ring() }, 0);
+    let mut s = Harness::new(Settings { cells: 1, reach: 1, ..ring() }, 0);
     let list = |names: &[&str]| {
         let members = names.iter().map(|name| member(name, 0)).collect();
         vec![Event::List { kind: ListKind::Complete, members }]
@@ -1048,7 +1048,7 @@
 #[test]
 fn a_load_report_that_is_repeated_grows_old() {
     let sent_to_a = |repeated: bool| {
-        let mut s = Stand::new(Settings { cells: 1, reach: 1, batch: 1, ..ring() }, 0);
+        let mut s = Harness::new(Settings { cells: 1, reach: 1, batch: 1, ..ring() }, 0);
         s.step(
             5.0,
             vec![Event::List { kind: ListKind::Complete, members: vec![member("a", 0), member("b", 0)] }],
@@ -1080,7 +1080,7 @@
 /// that met two of those is tried on.
 #[test]
 fn a_connection_lost_beside_answers_is_no_dead_server_and_no_poison() {
-    let mut s = Stand::new(Settings { second_copies: false, ..sets() }, 1);
+    let mut s = Harness::new(Settings { second_copies: false, ..sets() }, 1);
     let mut attempts = std::collections::BTreeMap::new();
     for n in 0..40 {
         let beside = sends(&s.ask(&format!("b{n}"), &[0, 1, 2, 3]));
--- a/crates/brookbend/tests/due.rs
+++ b/crates/brookbend/tests/schedule.rs
@@ -1,17 +1,17 @@
 //! A turn that looks at what is due decides as one that looks at everything: the same actions in the same order, from the
 //! same draws, and the same knowledge of servers and classes.
 
-#[path = "common/play.rs"]
-mod play;
+#[path = "common/random_day.rs"]
+mod random_day;
 
 use brookbend::Aggregator;
-use play::{Day, Plan, settings};
 use proptest::prelude::*;
+use random_day::{Day, Plan, settings};
 
 fn both(plan: Plan) -> Result<usize, String> {
     let mut due = Aggregator::new(settings(&plan), plan.seed);
     let mut all = Aggregator::new(settings(&plan), plan.seed);
-    all.look_at_all();
+    all.visit_all();
     Day::play(plan, &mut [&mut all, &mut due])
 }
 
@@ -53,7 +53,7 @@
         let mut day = Day::new(plan);
         for _ in 0..plan.steps {
             prop_assert_eq!(day.step(&mut [&mut due]), None);
-            prop_assert_eq!(due.kept_wrongly(), None);
+            prop_assert_eq!(due.find_inconsistency(), None);
         }
     }
 }
--- a/crates/brookbend/tests/tail.rs
+++ b/crates/brookbend/tests/tail.rs
@@ -8,13 +8,13 @@
 
 mod common;
 
-#[path = "common/play.rs"]
-mod play;
+#[path = "common/random_day.rs"]
+mod random_day;
 
 use brookbend::Aggregator;
 use brookbend::api::*;
 use common::{class, member, node, ring};
-use play::Chance;
+use random_day::Chance;
 use std::collections::{BTreeMap, BTreeSet};
 
 const PARTS: usize = 690;
--- a/crates/brookbend/tests/unreachable.rs
+++ b/crates/brookbend/tests/unreachable.rs
@@ -25,7 +25,7 @@
 /// An answer that needs the part is refused in the next batch, and nothing is sent for it any more.
 #[test]
 fn a_query_that_needs_it_is_refused_at_once() {
-    let mut s = Stand::new(ring(), 1);
+    let mut s = Harness::new(ring(), 1);
     s.ask("q", &[0, 1, 2, 3]);
     let out = s.step(5.0, vec![unreachable("q.2"), not_sent("q.2")]);
     assert_eq!((finals(&out), sends(&out).len()), (vec![refused()], 0));
@@ -36,7 +36,7 @@
 #[test]
 fn a_query_that_can_do_without_is_answered_once_the_others_are_in() {
     let class = Class { floor: 0.5, late_worth: 0.0, ..class() };
-    let mut s = Stand::new(Settings { classes: vec![class], ..ring() }, 1);
+    let mut s = Harness::new(Settings { classes: vec![class], ..ring() }, 1);
     s.ask("q", &[0, 1, 2, 3]);
     let out = s.step(5.0, vec![unreachable("q.2"), not_sent("q.2")]);
     assert!(finals(&out).is_empty() && sends(&out).is_empty());
@@ -50,7 +50,7 @@
 #[test]
 fn a_query_that_is_whole_without_it_is_answered_whole() {
     let class = Class { need: 0.7, floor: 0.7, ..class() };
-    let mut s = Stand::new(Settings { classes: vec![class], ..ring() }, 1);
+    let mut s = Harness::new(Settings { classes: vec![class], ..ring() }, 1);
     let first = sends(&s.ask("q", &[0, 1, 2, 3]));
     assert_eq!(first.len(), 3, "one is kept in reserve");
     let without = first[0].0.clone();
--- a/crates/brookbend/tests/looks.rs
+++ b/crates/brookbend/tests/visits.rs
@@ -69,10 +69,10 @@
     }
 
     /// Looks that the rest of this takes.
-    fn looks(&mut self, what: impl FnOnce(&mut Self)) -> u64 {
-        let before = self.a.looks();
+    fn visits_during(&mut self, what: impl FnOnce(&mut Self)) -> u64 {
+        let before = self.a.visits();
         what(self);
-        self.a.looks() - before
+        self.a.visits() - before
     }
 }
 
@@ -91,7 +91,7 @@
 
 fn answered_one_by_one(class: Class, parts: usize) -> u64 {
     let mut w = wide(class, ring());
-    w.looks(|w| {
+    w.visits_during(|w| {
         let sent = w.ask(parts);
         for (part, _) in sent {
             w.turn(0.05, vec![end(&part, 0, Outcome::Served, 5.0)]);
@@ -113,7 +113,7 @@
     grows_evenly(|parts| answered_one_by_one(any.clone(), parts));
     let mut w = wide(any, ring());
     assert_eq!(w.ask(400).len(), 200);
-    let quiet = w.looks(|w| (0..20).for_each(|_| drop(w.turn(0.5, vec![]))));
+    let quiet = w.visits_during(|w| (0..20).for_each(|_| drop(w.turn(0.5, vec![]))));
     assert!(quiet <= 20, "{quiet} looks");
 }
 
@@ -126,7 +126,7 @@
         let lost =
             |n: usize| Bulk { node: node(&format!("n{n:05}")), served: 0, errors: 0, lost: 8, elapsed: None };
         w.a.report_bulk(1.0, ClassIndex(0), &(0..1200).map(lost).collect::<Vec<_>>());
-        w.looks(|w| {
+        w.visits_during(|w| {
             let sent = w.ask(parts).len();
             assert!(sent < parts * 7 / 10 && sent > parts / 2, "{sent} of {parts}");
             (0..50).for_each(|_| drop(w.turn(5.0, vec![])));
@@ -142,7 +142,7 @@
             grows_evenly(|parts| {
                 let budget = AttemptBudget { spare: 0.0, per_request: share, span: 1000.0 };
                 let mut w = wide(class(), Settings { budget: Some(budget), max_attempts: 3, ..ring() });
-                w.looks(|w| {
+                w.visits_during(|w| {
                     for (n, (part, _)) in w.ask(parts).into_iter().enumerate() {
                         let outcome = if n % 2 == 0 { Outcome::Served } else { outcome };
                         w.turn(0.05, vec![end(&part, 0, outcome, 2.0)]);
@@ -160,7 +160,7 @@
     let mut w = wide(unsafe_class, ring());
     assert_eq!(w.ask(400).len(), 400);
     w.turn(600.0, vec![]);
-    let quiet = w.looks(|w| (0..20).for_each(|_| drop(w.turn(5.0, vec![]))));
+    let quiet = w.visits_during(|w| (0..20).for_each(|_| drop(w.turn(5.0, vec![]))));
     assert!(quiet <= 40, "{quiet} looks at parts that are late");
 }
 
@@ -171,7 +171,7 @@
     let mut w = wide(class(), Settings { budget: Some(budget), ..ring() });
     assert_eq!(w.ask(400).len(), 400);
     w.turn(600.0, vec![]);
-    let quiet = w.looks(|w| (0..20).for_each(|_| drop(w.turn(5.0, vec![]))));
+    let quiet = w.visits_during(|w| (0..20).for_each(|_| drop(w.turn(5.0, vec![]))));
     assert!(quiet <= 80, "{quiet} looks at parts that are late");
 }
 
@@ -181,7 +181,7 @@
     let mut w = wide(class(), ring());
     let parts: usize = (0..20).map(|_| w.ask(400).len()).sum();
     assert_eq!(parts, 8000);
-    let idle = w.looks(|w| (0..100).for_each(|_| drop(w.turn(0.1, vec![]))));
+    let idle = w.visits_during(|w| (0..100).for_each(|_| drop(w.turn(0.1, vec![]))));
     assert!(idle <= 20, "{idle} looks in a hundred idle turns");
 }
 
@@ -192,11 +192,11 @@
     (0..10).for_each(|_| drop(w.ask(400)));
     let change = |n: usize, state| Member { node: node(&format!("n{n:05}")), state, ..member("", n % 400) };
     let list = |members| vec![Event::List { kind: ListKind::Changes, members }];
-    let one = w.looks(|w| drop(w.turn(0.1, list(vec![change(7, NodeState::Draining)]))));
+    let one = w.visits_during(|w| drop(w.turn(0.1, list(vec![change(7, NodeState::Draining)]))));
     assert!(one <= 10, "{one} looks for one server");
     let zone = (0..410).map(|n| change(n, NodeState::Draining)).collect();
-    let zone = w.looks(|w| drop(w.turn(0.1, list(zone))));
+    let zone = w.visits_during(|w| drop(w.turn(0.1, list(zone))));
     assert!(zone <= 410 * 4, "{zone} looks for 410 servers");
-    let same = w.looks(|w| drop(w.turn(0.1, list(vec![change(7, NodeState::Draining)]))));
+    let same = w.visits_during(|w| drop(w.turn(0.1, list(vec![change(7, NodeState::Draining)]))));
     assert!(same <= 2, "{same} looks for what was known");
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -12,7 +12,7 @@
 use brookbend::api::{Action, ClassIndex, Event, ListKind, Member, Part, RequestId, Settings, TenantIndex};
 use brookbend::own::OwnTime;
 use brookbend::refusals::Refusals;
-use brookbend::room::no_room_advice;
+use brookbend::retry_advice::retry_after_when_full;
 use brookbend::view::{Bulk, ServerView};
 use places::Places;
 use plover_model::query::{AttemptId, Names, PartSpec, QueryId, QueryLimits};
@@ -464,7 +464,7 @@
 
     /// When a client is to come back whose query is refused before anything was sent for it; `None`: it isn't told.
     pub fn advice(&self, class: usize) -> Option<Micros> {
-        no_room_advice(&self.settings, class).map(millis)
+        retry_after_when_full(&self.settings, class).map(millis)
     }
 
     /// Queries that were refused on arrival since the start, and why.
