--- a/crates/brookbend/src/choice.rs
+++ b/crates/brookbend/src/choice.rs
@@ -1,5 +1,5 @@
 //! All decisions of an aggregator. The interface is `src/api.rs`; `src/state.rs`, `src/query_table.rs` and
-//! `src/fleet.rs` hold plain records; `src/schedule.rs` and `src/part_index.rs` tell what a turn has to visit.
+//! `src/fleet.rs` hold plain records; `src/schedule.rs` and `src/part_index.rs` tell what a turn visits.
 //!
 //! Read from the top: what happens in a batch, then lists, arrivals, rows and turns, the choice of a server,
 //! further attempts, replies, refusals, health, cold servers, and the width loop.
