--- a/crates/broker/src/event_loop.rs
+++ b/crates/broker/src/event_loop.rs
@@ -101,7 +101,8 @@
                 Some(self.core.next_tick_at()),
                 Some(self.upstream.due()),
                 doors,
-                ended, deferred,
+                ended,
+                deferred,
                 parts,
                 room,
             ];
--- a/crates/broker/src/extensions.rs
+++ b/crates/broker/src/extensions.rs
@@ -187,7 +187,12 @@
 
     /// All that a turn with one query says to extensions and asks of them.
     #[inline(never)]
-    fn seam_of_a_turn(extensions: &mut Extensions, now: Micros, view: View<'_>, ask: &QueryRequest) -> Option<Micros> {
+    fn seam_of_a_turn(
+        extensions: &mut Extensions,
+        now: Micros,
+        view: View<'_>,
+        ask: &QueryRequest,
+    ) -> Option<Micros> {
         let told = [
             TurnEvent::TurnStart(view),
             TurnEvent::WholeList,
