--- a/crates/broker/src/hand_over.rs
+++ b/crates/broker/src/hand_over.rs
@@ -52,7 +52,7 @@
         let news = self.sockets.turn(now);
         let owed = self.sockets.owed();
         if !owed.is_empty() {
-            let recall = Word::Recall(Box::new(view.core.recall(now, view.rev)));
+            let recall = Word::Recall(Box::new(view.core.snapshot(now, view.rev)));
             // What was noted before this is part of all that is known.
             let words = [recall].into_iter().chain(view.queries.tell_all()).chain([Word::Told]);
             for word in words {
--- a/crates/broker/src/list.rs
+++ b/crates/broker/src/list.rs
@@ -2,8 +2,8 @@
 
 use crate::upstream::Upstream;
 use plover_core::Core;
-use plover_model::recall::Recall;
 use plover_model::server::{ListScope, NodeId, NodeState, ServerInfo, Targets};
+use plover_model::snapshot::Snapshot;
 use plover_model::time::Micros;
 use plover_runtime::clock::Clock;
 use std::collections::BTreeSet;
@@ -44,12 +44,12 @@
     }
 
     /// Takes from what the process before this one knew which servers were leaving, where its list was no older.
-    pub(crate) fn drain(&self, now: Micros, recall: &Recall, core: &mut Core, upstream: &mut Upstream) {
+    pub(crate) fn drain(&self, now: Micros, recall: &Snapshot, core: &mut Core, upstream: &mut Upstream) {
         if recall.rev < self.rev {
             return;
         }
         let leaves: BTreeSet<&str> =
-            recall.servers.iter().filter(|s| s.leaving).map(|s| s.name.as_str()).collect();
+            recall.servers.iter().filter(|s| s.draining_or_gone).map(|s| s.name.as_str()).collect();
         let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
         let views = core.views(now, |_| Some(nowhere)).into_iter();
         let drains = views.filter(|v| v.state == NodeState::Serving && leaves.contains(&*v.name.0));
--- a/crates/broker/src/parts.rs
+++ b/crates/broker/src/parts.rs
@@ -11,7 +11,7 @@
 use plover_handover::Neighbours;
 use plover_handover::wire::Word;
 use plover_model::query::Ask;
-use plover_model::recall::Recall;
+use plover_model::snapshot::Snapshot;
 use plover_model::time::Micros;
 use plover_ops::Census;
 
@@ -61,7 +61,7 @@
 /// What a part wants done, at once and in this order.
 pub(crate) enum Want {
     /// Begin with what another process of this broker knew.
-    Remember(Box<Recall>),
+    Remember(Box<Snapshot>),
     /// Take what another process of this broker did with a key.
     Hear(Word),
     /// So many processes are this broker.
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -173,7 +173,7 @@
         let rows = names.classes.iter().map(|name| books.row(name)).collect();
         let (window, keep) = repeat_times(settings);
         let mut repeats = Repeats::new(window, keep, KEYS);
-        repeats.allow_copies(settings.second_copies);
+        repeats.allow_copies(settings.hedging);
         Queries {
             pending: BTreeMap::new(),
             ids: BTreeSet::new(),
@@ -238,7 +238,7 @@
     pub(crate) fn retune(&mut self, settings: &Settings, names: &Names, room: usize) {
         let (window, keep) = repeat_times(settings);
         self.repeats.retune(window, keep);
-        self.repeats.allow_copies(settings.second_copies);
+        self.repeats.allow_copies(settings.hedging);
         self.windows = windows(settings);
         self.shares.set_room(room);
         self.max_retry_after = settings.max_retry_after.map(millis);
@@ -391,9 +391,9 @@
             id,
             class: ask.class,
             tenant: ask.tenant,
-            give_up_at,
+            deadline: give_up_at,
             limits: ask.limits.clone(),
-            again: ask.again,
+            is_retry: ask.again,
             parts: ask.parts.clone(),
         };
         let span = debug_span!("query", query = id, connection, id = %ask.id);
--- a/crates/broker/src/queries/tests.rs
+++ b/crates/broker/src/queries/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use brookbend::settings::{Message, decode};
+use brookbend::settings::{JsonObject, decode};
 use plover_model::query::PartSpec;
 use plover_model::server::NodeId;
 
@@ -8,7 +8,7 @@
 fn settings(change: impl FnOnce(&mut Settings)) -> Settings {
     let settings: serde_json::Value =
         serde_json::from_str(include_str!("../../../model/tests/settings.json")).unwrap();
-    let mut site = decode(&Message::new("settings", settings.as_object().unwrap())).unwrap();
+    let mut site = decode(&JsonObject::new("settings", settings.as_object().unwrap())).unwrap();
     change(&mut site.settings);
     site.settings
 }
@@ -74,11 +74,11 @@
 #[test]
 fn a_keyed_part_has_a_second_copy_where_the_settings_allow_it() {
     for allowed in [false, true] {
-        let mut q = queries(&settings(|s| s.second_copies = allowed));
+        let mut q = queries(&settings(|s| s.hedging = allowed));
         let id = ask(&mut q, 0, 1, 1, "k").unwrap();
         send(&mut q, 0, id, 0).unwrap();
         assert_eq!(send(&mut q, 10, id, 1).is_ok(), allowed);
-        q.retune(&settings(|s| s.second_copies = !allowed), &names(), 100);
+        q.retune(&settings(|s| s.hedging = !allowed), &names(), 100);
         assert_eq!(send(&mut q, 20, id, 2).is_ok(), !allowed, "as the settings are now");
     }
 }
--- a/crates/broker/src/rig.rs
+++ b/crates/broker/src/rig.rs
@@ -15,7 +15,8 @@
         partial_earns: 0.0,
         second_step: false,
     };
-    let cold = ColdRule { from: 0.2, warm_after: 10_000.0, fall_multiple: 2.0, fall_after: 2000.0 };
+    let cold =
+        ColdRule { initial_capacity: 0.2, warm_after: 10_000.0, overload_factor: 2.0, overload_time: 2000.0 };
     Settings {
         classes: vec![class],
         tenants: Vec::new(),
@@ -23,19 +24,19 @@
         zone: None,
         over_share_worth: 1.0,
         worth_by_work: false,
-        marks_again: false,
+        clients_mark_retries: false,
         cells: 1,
         reach: 1,
         shards: 1,
         batch: 1,
         call_work: 0.0,
         max_attempts: 3,
-        second_copies: false,
+        hedging: false,
         cancel: true,
         max_retry_after: None,
         tick: 5.0,
         list: ListSource::Pushed,
-        ask_within: 10_000.0,
+        list_deadline: 10_000.0,
         budget: None,
         cold,
     }
--- a/crates/broker/src/room/tests.rs
+++ b/crates/broker/src/room/tests.rs
@@ -177,7 +177,7 @@
     rig.core.leave(1);
     rig.queries.finish(rig.now, 1, |_| Reply::Failed);
     assert_eq!(rig.end(vec![], fitted.never), []);
-    assert_eq!(rig.core.census(rig.now), (SERVERS as u64, 0));
+    assert_eq!(rig.core.server_counts(rig.now), (SERVERS as u64, 0));
     // The next one, which fits, is served from the same servers.
     let narrow = rig.ask(2, 0..10);
     let fitted = rig.fit(narrow);
--- a/crates/broker/src/run.rs
+++ b/crates/broker/src/run.rs
@@ -148,7 +148,7 @@
         // What is remembered may be a day old: then the whole list is asked for.
         index: come_back.is_none().then_some(rev),
         seed: config.seed,
-        times: Times::within(millis(config.settings.ask_within)),
+        times: Times::within(millis(config.settings.list_deadline)),
         budget: come_back.map(|c| coming::budget(c, config.seed)),
     };
     let given = Given::new(config.descriptors, config.clients, config.pool.sockets, &limits);
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -84,7 +84,7 @@
         loop {
             let now = self.clock.now();
             let own = &self.accounted.own;
-            self.core.set_own_time(own.part(), own.turn(), self.busy.total());
+            self.core.set_overhead(own.part(), own.turn(), self.busy.total());
             let (sent, ended) = self.turn(now).await;
             self.account(sent, ended);
             let superseded = self.parts.beside().is_some_and(Neighbours::has_newer);
@@ -208,7 +208,7 @@
                     // The list that is known at the start waits for the first turn; this is about its servers.
                     let decisions = self.core.tick(now);
                     self.carry_out(now, decisions);
-                    self.core.remember(now, 0, &recall);
+                    self.core.restore(now, 0, &recall);
                     self.list.drain(now, &recall, &mut self.core, &mut self.upstream);
                 }
                 Want::Hear(word) => self.queries.hear(now, word),
@@ -292,7 +292,7 @@
 
     fn operate(&mut self, now: Micros, call: Call) -> (u16, String) {
         let figures = || {
-            let (discovered, ejected) = self.core.census(now);
+            let (discovered, ejected) = self.core.server_counts(now);
             let mut census = Census {
                 forwards: self.upstream.forwards(),
                 discovered,
@@ -328,11 +328,11 @@
         let quarantine = quarantine(&placed.settings);
         let wants = self.parts.told(now, Told::Retuned { quarantine });
         self.carry_wants(now, wants);
-        self.core.retune(&placed, config.max_open, now + BINDS);
+        self.core.reconfigure(&placed, config.max_open, now + BINDS);
         self.upstream.set_limits(config.pool);
         self.doors.fronts.change(now, self.files.terms(&placed.settings, &placed.names));
         info!(name: "reloaded", discovery = %config.discovery, classes = config.names.classes.join(","));
-        self.discovery.move_to(config.discovery, Times::within(millis(config.settings.ask_within)));
+        self.discovery.move_to(config.discovery, Times::within(millis(config.settings.list_deadline)));
     }
 
     /// What ended since the last turn, for the decisions; the values stay here, with their queries.
@@ -378,11 +378,11 @@
     fn tell_refusals(&mut self) {
         let refusals = self.core.refusals();
         let logged = std::mem::replace(&mut self.refusals_logged, refusals.total());
-        let Refusals { past_aim, mean, slowest, own, lag, newest, probes } = refusals;
+        let Refusals { past_aim, mean, slowest, overhead: own, lag, newest, probes } = refusals;
         if let Some(newest) = newest.filter(|_| logged < refusals.total()) {
             debug!(
                 name: "refused_on_arrival", past_aim, mean, slowest, own, lag, probes, class = newest.class.0,
-                mean_ms = newest.mean, slowest_ms = newest.slowest, own_ms = newest.own, lag_ms = newest.lag, allowed_ms = newest.allowed
+                mean_ms = newest.mean, slowest_ms = newest.slowest, own_ms = newest.overhead, lag_ms = newest.lag, allowed_ms = newest.allowed
             );
         }
     }
--- a/crates/brookbend/src/agenda.rs
+++ b/crates/brookbend/src/agenda.rs
@@ -1,10 +1,10 @@
-//! Where the pieces of a held query stand, which of them a turn has to look at, and what they add up to.
+//! Where the parts of a held query stand, which of them a turn has to look at, and what they add up to.
 //!
-//! Nothing here decides anything: sums and sets are kept as pieces change, in place of what would be gone through anew.
+//! Nothing here decides anything: sums and sets are kept as parts change, in place of what would be gone through anew.
 
 use crate::api::*;
-use crate::choice::{Aggregator, ROUNDING};
-use crate::state::{Held, Piece};
+use crate::choice::{Aggregator, TOLERANCE};
+use crate::state::{PartState, QueryState};
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeSet, BinaryHeap};
 
@@ -13,7 +13,7 @@
 
 /// A moment, in order.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct At(pub(crate) Ms);
+pub(crate) struct At(pub(crate) Millis);
 
 impl Eq for At {}
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Where a piece stands.
+/// Where a part stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Stand {
     /// Served, or of a step that is over, or never to be asked for.
@@ -53,41 +53,41 @@
     LateSpent,
 }
 
-/// The pieces of a query by where they stand, as far as they are to be found.
+/// The parts of a query by where they stand, as far as they are to be found.
 #[derive(Default)]
 pub(crate) struct Agenda {
     pub(crate) fresh: BTreeSet<usize>,
     pub(crate) reserve: BTreeSet<usize>,
     pub(crate) failed: BTreeSet<usize>,
     spent: usize,
-    /// When what is out will be for as long as expected: the piece, and how many attempts it had. Some have ended since.
+    /// When what is out will be for as long as expected: the part, and how many attempts it had. Some have ended since.
     pub(crate) out: BinaryHeap<Reverse<(At, usize, usize)>>,
     /// By when it was sent.
     pub(crate) past: BTreeSet<(At, usize)>,
     pub(crate) late: BTreeSet<usize>,
     pub(crate) late_spent: BTreeSet<usize>,
     /// Attempts are not late before this time.
-    pub(crate) floor: Ms,
+    pub(crate) floor: Millis,
 }
 
 impl Agenda {
-    fn enter(&mut self, i: usize, p: &Piece) {
-        let last = p.tries.last().map_or((0.0, 0.0), |t| (t.sent, t.expected));
+    fn enter(&mut self, i: usize, p: &PartState) {
+        let last = p.attempts.last().map_or((0.0, 0.0), |t| (t.sent, t.expected));
         match p.stand {
             Stand::Done => {}
             Stand::Fresh => drop(self.fresh.insert(i)),
             Stand::Reserve => drop(self.reserve.insert(i)),
             Stand::Failed => drop(self.failed.insert(i)),
             Stand::Spent => self.spent += 1,
-            Stand::Out => self.out.push(Reverse((At(last.0 + last.1), i, p.tries.len()))),
+            Stand::Out => self.out.push(Reverse((At(last.0 + last.1), i, p.attempts.len()))),
             Stand::Past => drop(self.past.insert((At(last.0), i))),
             Stand::Late => drop(self.late.insert(i)),
             Stand::LateSpent => drop(self.late_spent.insert(i)),
         }
     }
 
-    fn leave(&mut self, i: usize, p: &Piece) {
-        let sent = p.tries.last().map_or(0.0, |t| t.sent);
+    fn leave(&mut self, i: usize, p: &PartState) {
+        let sent = p.attempts.last().map_or(0.0, |t| t.sent);
         match p.stand {
             Stand::Done | Stand::Out => {}
             Stand::Fresh => drop(self.fresh.remove(&i)),
@@ -100,18 +100,18 @@
         }
     }
 
-    /// Whether a piece was asked for, and its latest attempt has failed or is late.
+    /// Whether a part was asked for, and its latest attempt has failed or is late.
     pub(crate) fn troubled(&self) -> bool {
         self.spent > 0 || !(self.failed.is_empty() && self.late.is_empty() && self.late_spent.is_empty())
     }
 }
 
-/// What the pieces of a query add up to.
+/// What the parts of a query add up to.
 #[derive(Debug, Default)]
 pub(crate) struct Tally {
     /// Of all: how many are served, and the longest attempt at one of them.
     pub(crate) served: usize,
-    pub(crate) took: Ms,
+    pub(crate) took: Millis,
     /// Of the step at hand: how many are served, and their weight.
     pub(crate) step_served: usize,
     pub(crate) have: f64,
@@ -125,7 +125,7 @@
 }
 
 impl Tally {
-    fn count(&mut self, p: &Piece, q: (bool, u32), sign: f64) {
+    fn count(&mut self, p: &PartState, q: (bool, u32), sign: f64) {
         let (step, most) = q;
         if p.served {
             self.served = self.served.wrapping_add_signed(sign as isize);
@@ -138,14 +138,14 @@
         if is_without(p, most) {
             self.without += weight;
         }
-        let left = usize::from(p.left);
+        let left = usize::from(p.omitted);
         if p.served {
             self.step_served = self.step_served.wrapping_add_signed(sign as isize);
             self.have += weight;
-        } else if p.tries.iter().any(|t| t.outcome.is_none()) {
+        } else if p.attempts.iter().any(|t| t.outcome.is_none()) {
             self.coming[0][left] += weight;
-        } else if p.housed && p.tried() < most {
-            self.coming[if p.tries.is_empty() { 1 } else { 2 }][left] += weight;
+        } else if p.has_holders && p.attempts_used() < most {
+            self.coming[if p.attempts.is_empty() { 1 } else { 2 }][left] += weight;
         }
     }
 
@@ -161,59 +161,60 @@
     }
 }
 
-pub(crate) fn is_without(p: &Piece, most: u32) -> bool {
-    p.left || !p.served && p.tried() >= most
+pub(crate) fn is_without(p: &PartState, most: u32) -> bool {
+    p.omitted || !p.served && p.attempts_used() >= most
 }
 
-impl Held {
-    /// Takes a piece out of what is kept, before it changes.
+impl QueryState {
+    /// Takes a part out of what is kept, before it changes.
     pub(crate) fn lift(&mut self, i: usize) {
-        let p = &self.pieces[i];
+        let p = &self.parts[i];
         self.agenda.leave(i, p);
-        self.tally.count(p, (i >= self.step_from, self.max_attempts), -1.0);
+        self.tally.count(p, (i >= self.step_start, self.max_attempts), -1.0);
     }
 
     /// Puts it back, where it stands now.
-    pub(crate) fn settle(&mut self, set: &Settings, now: Ms, i: usize) {
-        let stand = self.stand(set, now, i);
-        let p = &mut self.pieces[i];
+    pub(crate) fn settle(&mut self, settings: &Settings, now: Millis, i: usize) {
+        let stand = self.stand(settings, now, i);
+        let p = &mut self.parts[i];
         p.stand = stand;
-        self.tally.count(p, (i >= self.step_from, self.max_attempts), 1.0);
+        self.tally.count(p, (i >= self.step_start, self.max_attempts), 1.0);
         if p.served {
-            self.tally.took = p.tries.iter().map(|t| t.took).fold(self.tally.took, f64::max);
+            self.tally.took = p.attempts.iter().map(|t| t.took).fold(self.tally.took, f64::max);
         }
         self.agenda.enter(i, p);
     }
 
     /// All anew.
-    pub(crate) fn recount(&mut self, set: &Settings, now: Ms) {
+    pub(crate) fn recount(&mut self, settings: &Settings, now: Millis) {
         self.agenda = Agenda { floor: self.agenda.floor, ..Agenda::default() };
         self.tally = Tally::default();
-        (0..self.pieces.len()).for_each(|i| self.settle(set, now, i));
+        (0..self.parts.len()).for_each(|i| self.settle(settings, now, i));
     }
 
-    /// Whether the class lets a query do without some of its pieces: then each that is idle is looked at in each turn.
-    pub(crate) fn may_leave(&self, set: &Settings) -> bool {
-        let class = &set.classes[self.class];
-        self.step_from == 0 && class.need - class.floor > ROUNDING
+    /// Whether the class lets a query do without some of its parts: then each that is idle is looked at in each turn.
+    pub(crate) fn may_leave(&self, settings: &Settings) -> bool {
+        let class = &settings.classes[self.class];
+        self.step_start == 0 && class.need - class.floor > TOLERANCE
     }
 
-    fn stand(&self, set: &Settings, now: Ms, i: usize) -> Stand {
-        let p = &self.pieces[i];
-        if p.served || i < self.step_from {
+    fn stand(&self, settings: &Settings, now: Millis, i: usize) -> Stand {
+        let p = &self.parts[i];
+        if p.served || i < self.step_start {
             return Stand::Done;
         }
-        let over = p.tried() >= self.max_attempts;
-        let Some(last) = p.tries.last() else {
-            return match (over, p.reserve) {
+        let over = p.attempts_used() >= self.max_attempts;
+        let Some(last) = p.attempts.last() else {
+            return match (over, p.in_reserve) {
                 (true, _) => Stand::Done,
                 (false, true) => Stand::Reserve,
                 (false, false) => Stand::Fresh,
             };
         };
         let age = now - last.sent;
-        let repeats =
-            |idle: bool| !over && (idle && self.may_leave(set) || Aggregator::may_repeat(set, now, self, p));
+        let repeats = |idle: bool| {
+            !over && (idle && self.may_leave(settings) || Aggregator::may_repeat(settings, now, self, p))
+        };
         match (last.outcome, age > last.expected, age > self.agenda.floor) {
             (Some(_), ..) if repeats(true) => Stand::Failed,
             (Some(_), ..) => Stand::Spent,
@@ -224,13 +225,13 @@
         }
     }
 
-    /// The next piece after this one that a turn has to look at; `blocked`: no attempt beyond a first may go in it.
-    pub(crate) fn next_piece(&self, set: &Settings, from: usize, blocked: bool) -> Option<usize> {
+    /// The next part after this one that a turn has to look at; `blocked`: no attempt beyond a first may go in it.
+    pub(crate) fn next_part(&self, settings: &Settings, from: usize, blocked: bool) -> Option<usize> {
         let a = &self.agenda;
         let next = |of: &BTreeSet<usize>, wanted: bool| {
             if wanted { of.range(from..).next().copied() } else { None }
         };
-        let leaves = self.may_leave(set);
+        let leaves = self.may_leave(settings);
         let tried = !blocked || leaves;
         [
             next(&a.fresh, true),
--- a/crates/brookbend/src/api.rs
+++ b/crates/brookbend/src/api.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 /// A moment on the caller's clock, or a span of it, in milliseconds.
-pub type Ms = f64;
+pub type Millis = f64;
 
 /// Name of a server; the same at every aggregator, and kept over restarts of its process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -57,7 +57,7 @@
     /// Repeats are dropped by the servers for so long after the first attempt.
     Keyed {
         /// Time, from the first attempt that may have run, in which repeats are dropped.
-        window: Ms,
+        window: Millis,
     },
     /// A repeat would take effect again.
     Unsafe,
@@ -67,9 +67,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time earns full worth.
-    pub aim: Ms,
-    /// The client's whole patience, over all its tries.
-    pub give_up: Ms,
+    pub aim: Millis,
+    /// The client's whole patience, over all its attempts.
+    pub give_up: Millis,
     /// Worth of a whole answer in time.
     pub worth: f64,
     /// Share of the worth that an answer after the aim still earns.
@@ -106,24 +106,24 @@
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptBudget {
     /// So many are free in any window.
-    pub spare: f64,
+    pub free_attempts: f64,
     /// And so many for each query and part taken in the window.
     pub per_request: f64,
     /// Length of the window.
-    pub span: Ms,
+    pub window: Millis,
 }
 
 /// The figures for servers that have just started.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdRule {
     /// A server starts with at least this share of its capacity.
-    pub from: f64,
+    pub initial_capacity: f64,
     /// It is warm after this time at the latest.
-    pub warm_after: Ms,
+    pub warm_after: Millis,
     /// It falls over when sent more than this multiple of what it can do at the moment ...
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// ... for this long.
-    pub fall_after: Ms,
+    pub overload_time: Millis,
 }
 
 /// All that an aggregator is told at its start.
@@ -142,7 +142,7 @@
     /// Whether a query's worth grows with the work in it.
     pub worth_by_work: bool,
     /// Whether clients mark their repeats, see [`Query::again`].
-    pub marks_again: bool,
+    pub clients_mark_retries: bool,
     /// Number of cells. Shard `s` is held by the servers of cells `s + j` modulo this, `j` below `reach`.
     pub cells: usize,
     /// Cells in a row that hold a shard: 1 where servers form sets.
@@ -152,21 +152,21 @@
     /// Most parts in one call.
     pub batch: usize,
     /// Work that a call costs its server beside that of its parts.
-    pub call_work: Ms,
+    pub call_work: Millis,
     /// Most attempts for one part.
     pub max_attempts: u32,
     /// Whether a part may have two attempts out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Whether attempts may be called off.
     pub cancel: bool,
     /// Longest retry advice that clients heed; `None` where advice does not reach them.
-    pub max_retry_after: Option<Ms>,
+    pub max_retry_after: Option<Millis>,
     /// Time between two batches at the least.
-    pub tick: Ms,
+    pub tick: Millis,
     /// How the list of servers comes.
     pub list: ListSource,
     /// Without a subscription, an aggregator counts as told after this time.
-    pub ask_within: Ms,
+    pub list_deadline: Millis,
     /// The rule on further attempts, where there is one.
     pub budget: Option<AttemptBudget>,
     /// The rule on cold servers.
@@ -196,7 +196,7 @@
     /// Index of its zone, where the list shows it.
     pub zone: Option<usize>,
     /// When its process last started; `None`: long ago.
-    pub started: Option<Ms>,
+    pub started: Option<Millis>,
 }
 
 /// What a list event brings.
@@ -224,13 +224,13 @@
     /// Its tenant.
     pub tenant: TenantIndex,
     /// When this try is over: its client gives up, or the site wants it to end before.
-    pub give_up_at: Ms,
+    pub deadline: Millis,
     /// When the client gives up this try.
-    pub patience_ends: Ms,
+    pub client_deadline: Millis,
     /// Most attempts at a part, where that is less than the settings' figure.
     pub max_attempts: Option<u32>,
     /// Whether the client marks it as a repeat.
-    pub again: bool,
+    pub is_retry: bool,
 }
 
 /// A part of a query.
@@ -245,7 +245,7 @@
     /// Its weight in the answer.
     pub weight: f64,
     /// Roughly the work in it, where the deployment gives hints.
-    pub work_hint: Option<Ms>,
+    pub work_hint: Option<Millis>,
 }
 
 /// How an attempt ended.
@@ -292,7 +292,7 @@
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
-        elapsed: Ms,
+        elapsed: Millis,
         /// Requests that the server said it holds, waiting or in work, where its answers tell: a hint that may be
         /// late or untrue.
         load: Option<f64>,
@@ -305,10 +305,10 @@
         /// Which of the part's attempts, from 0.
         attempt: u32,
         /// Since when.
-        since: Ms,
+        since: Millis,
     },
     /// The client has left; nothing more is owed.
-    Gone(RequestId),
+    ClientGone(RequestId),
     /// No attempt at this part can be sent any more: its query is to do without it.
     Unreachable(RequestId),
     /// The time asked for by [`Action::Wake`] has come.
@@ -325,7 +325,7 @@
         /// Where to.
         node: NodeId,
         /// Wait this long at the most; `None`: until the client gives up.
-        within: Option<Ms>,
+        timeout: Option<Millis>,
     },
     /// End the wait for an attempt.
     Cancel {
@@ -346,7 +346,7 @@
         /// The query.
         query: RequestId,
         /// When the client should come back.
-        retry_after: Option<Ms>,
+        retry_after: Option<Millis>,
     },
     /// End the query unanswered, promising nothing.
     Fail {
@@ -358,6 +358,6 @@
     /// Send [`Event::Woken`] after this time.
     Wake {
         /// How long from now.
-        after: Ms,
+        after: Millis,
     },
 }
--- a/crates/brookbend/src/bin/brookbend-adapter.rs
+++ b/crates/brookbend/src/bin/brookbend-adapter.rs
@@ -3,17 +3,17 @@
 
 use brookbend::Aggregator;
 use brookbend::api::*;
-use brookbend::settings::{self, Message};
+use brookbend::settings::{self, JsonObject};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-fn request(m: &Message) -> Result<RequestId, String> {
+fn request(m: &JsonObject) -> Result<RequestId, String> {
     Ok(RequestId::named(m.text("OpId")?))
 }
 
-fn members(m: &Message) -> Result<Vec<Member>, String> {
+fn members(m: &JsonObject) -> Result<Vec<Member>, String> {
     let mut members = Vec::new();
     for e in m.objects("MembersList")? {
         let state = match e.text("Mode")? {
@@ -33,7 +33,7 @@
     Ok(members)
 }
 
-fn order(m: &Message, classes: usize) -> Result<Event, String> {
+fn order(m: &JsonObject, classes: usize) -> Result<Event, String> {
     let class = m.whole("Service")? as usize;
     if class >= classes {
         return m.bad("Service", "names no class");
@@ -46,10 +46,10 @@
             group,
             class: ClassIndex(class),
             tenant: TenantIndex(m.opt_whole("Team")?.unwrap_or(0) as usize),
-            give_up_at: m.number("GiveUpAt")?,
-            patience_ends: m.number("GiveUpAt")?,
+            deadline: m.number("GiveUpAt")?,
+            client_deadline: m.number("GiveUpAt")?,
             max_attempts: None,
-            again: m.flag("AgainByClient")?,
+            is_retry: m.flag("AgainByClient")?,
         }));
     }
     Ok(Event::Part(Part {
@@ -62,12 +62,12 @@
 }
 
 /// Requests held by a server as its load report has it; a report that is odd is as none.
-fn held(m: &Message) -> Option<f64> {
+fn held(m: &JsonObject) -> Option<f64> {
     let report = m.get("Gauge")?.as_object()?;
     report.get("rif").or_else(|| report.get("q"))?.as_f64().filter(|n| *n >= 0.0)
 }
 
-fn outcome(m: &Message) -> Result<Outcome, String> {
+fn outcome(m: &JsonObject) -> Result<Outcome, String> {
     Ok(match m.text("Rc")? {
         "served" => Outcome::Served,
         "server_error" => Outcome::Error,
@@ -83,8 +83,8 @@
 
 fn action_line(instance: u64, action: &Action) -> Value {
     match action {
-        Action::Send { part, node, within } => {
-            json!({"t": "Issue", "I": instance, "OpId": part.to_string(), "Within": within.unwrap_or(0.0), "Node": &*node.0})
+        Action::Send { part, node, timeout } => {
+            json!({"t": "Issue", "I": instance, "OpId": part.to_string(), "Within": timeout.unwrap_or(0.0), "Node": &*node.0})
         }
         Action::Cancel { part, attempt } => {
             json!({"t": "AbortAttempt", "I": instance, "OpId": part.to_string(), "Hop": attempt})
@@ -117,7 +117,7 @@
 }
 
 impl Adapter {
-    fn hear(&mut self, m: &Message) -> Result<(), String> {
+    fn hear(&mut self, m: &JsonObject) -> Result<(), String> {
         if m.name() == "Ledger" {
             self.lists.insert(m.whole("Slot")?, members(m)?);
             return Ok(());
@@ -165,7 +165,7 @@
                 elapsed: m.number("Rtt")?,
                 load: held(m),
             }),
-            "Dropped" => Some(Event::Gone(request(m)?)),
+            "Dropped" => Some(Event::ClientGone(request(m)?)),
             "DeadlineHit" => m.whole("Ref").map(|_| Some(Event::Woken))?,
             // Not asked for, but part of the wire.
             "Begun" | "Probed" | "Memo" => None,
@@ -175,7 +175,7 @@
         Ok(())
     }
 
-    fn reply(&mut self, now: Ms, batch: &Value, out: &mut impl Write) -> io::Result<()> {
+    fn reply(&mut self, now: Millis, batch: &Value, out: &mut impl Write) -> io::Result<()> {
         for (number, events) in std::mem::take(&mut self.inbox) {
             let Some(instance) = self.instances.get_mut(&number) else { continue };
             for action in instance.aggregator.on_batch(now, events) {
@@ -190,7 +190,7 @@
 /// Reads batches until the input ends. The error is the line to print.
 fn serve(input: impl BufRead, mut out: impl Write) -> Result<(), String> {
     let mut adapter = Adapter::default();
-    let mut open: Option<(Ms, Value)> = None;
+    let mut open: Option<(Millis, Value)> = None;
     let mut last = Value::Null;
     for (at, line) in input.lines().enumerate() {
         let place = |batch: &Value| format!("line {}, batch {batch}", at + 1);
@@ -206,7 +206,7 @@
         let Some(name) = fields.get("t").and_then(Value::as_str) else {
             return Err(format!("{}: message: field t is missing or not a string", place(&last)));
         };
-        let m = Message::new(name, fields);
+        let m = JsonObject::new(name, fields);
         match name {
             "Tick" => {
                 last = json!(m.whole("n").map_err(|e| format!("{}: {e}", place(&last)))?);
--- a/crates/brookbend/src/check.rs
+++ b/crates/brookbend/src/check.rs
@@ -12,23 +12,23 @@
         let mut wrong = None;
         for (id, q) in &mut queries {
             self.advance(q);
-            let stands: Vec<Stand> = q.pieces.iter().map(|p| p.stand).collect();
+            let stands: Vec<Stand> = q.parts.iter().map(|p| p.stand).collect();
             let kept = take(&mut q.tally);
             let broken = std::mem::replace(&mut self.all, true);
             let scanned = self.broken_and_served(q);
             self.all = broken;
-            q.recount(&self.set, self.now);
-            for (i, (kept, p)) in stands.iter().zip(&q.pieces).enumerate() {
+            q.recount(&self.settings, self.now);
+            for (i, (kept, p)) in stands.iter().zip(&q.parts).enumerate() {
                 // What may not be repeated since some moment is found out when it is looked at.
                 let lapsed = matches!(
                     (kept, p.stand),
                     (Stand::Late, Stand::LateSpent) | (Stand::Failed, Stand::Spent)
                 );
                 if *kept != p.stand && !lapsed {
-                    wrong = Some(format!("{id}, piece {i}: kept {kept:?}, is {:?}", p.stand));
+                    wrong = Some(format!("{id}, part {i}: kept {kept:?}, is {:?}", p.stand));
                 }
             }
-            if !same(&kept, &q.tally) || (q.broken, q.tally.served) != scanned {
+            if !same(&kept, &q.tally) || (q.lost_to_silent, q.tally.served) != scanned {
                 wrong = Some(format!("{id}: kept {kept:?}, is {:?}, {scanned:?}", q.tally));
             }
         }
--- a/crates/brookbend/src/choice.rs
+++ b/crates/brookbend/src/choice.rs
@@ -1,154 +1,154 @@
-//! All decisions of an aggregator. The interface file is `src/api.rs`; `src/state.rs`, `src/desk.rs` and
-//! `src/fleet.rs` hold plain records; `src/due.rs` and `src/agenda.rs` tell what a turn has to look at.
-//!
-//! Read from the top: what happens in a batch, then lists, arrivals, rows and turns, the choice of a server,
-//! further attempts, replies, refusals, health, cold servers, and the width loop.
+//! All decisions of an aggregator, in the order of a batch: the server list, arrivals, rows, the choice of a
+//! server, attempts, replies, admission, server health, cold servers and the width controller.
+//! `api.rs` is the interface; `state.rs` and `fleet.rs` hold the records.
 
 use crate::api::*;
 use crate::demand::{Demand, turns_within};
 use crate::desk::Desk;
 use crate::estimates::{self, Work};
 use crate::fleet::Fleet;
-use crate::own::OwnTime;
+use crate::overhead::Overhead;
 use crate::refusals::Assessment;
-use crate::state::{Dice, Flight, Held, Learned, Piece, Server, Try, Width, never_ran, trim};
+use crate::state::{
+    Attempt, ClassEstimates, InFlight, PartState, QueryState, Random, Server, Width, never_ran, remove_before,
+};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Share of calls ending full or timed out that the width loop steers to: the design's figure.
+/// Target share of calls that end as full or timed out, for the width controller.
 const WIDTH_TARGET: f64 = 0.02;
-/// The controller's gains, proportional and derivative: the design's figures.
+/// Proportional and derivative gain of the width controller.
 const WIDTH_GAINS: (f64, f64) = (1.0, 0.5);
 /// Rows gained or lost a second per unit of relative error: a width change takes a few seconds to show.
 const WIDTH_STEP: f64 = 0.25;
-/// A second's relative error counts this much at most, so that one bad second cannot undo the width.
+/// Limit of one second's relative error, so that a single bad second cannot undo the width.
 const WIDTH_ERROR_CAP: f64 = 2.0;
-/// Length of the width loop's seconds: the design's figure.
-const SECOND: Ms = 1000.0;
+/// Period of the width controller and of the other periodic updates.
+const SECOND: Millis = 1000.0;
 
-/// A row holder is clearly behind when its forecast passes that of the best other holder by this share of the
-/// aim: smaller gains do not justify leaving the row.
+/// A row holder is clearly behind when its forecast exceeds the best other holder's by this share of the aim:
+/// smaller gains do not justify leaving the row.
 const BEHIND_AIM: f64 = 0.06;
-/// Crossing zones costs money and time: a holder elsewhere counts as behind by this share of the aim.
+/// Penalty on a holder in another zone, as a share of the aim: crossing zones costs money and time.
 const CROSS_AIM: f64 = 0.05;
-/// An error costs a new attempt; a server's forecast grows by its error share times this share of the aim.
+/// A server's forecast grows by its error share times this share of the aim: an error costs a new attempt.
 const ERROR_AIM: f64 = 0.5;
 
-/// Weight of one new outcome in a server's pace and error share: about the last five count.
-pub(crate) const NEWS: f64 = 0.2;
-/// Weight of an answer that took OVERDUE times its forecast: a broker that meets a server every few seconds
-/// would else go on sending to a filled one for a minute.
-const SLOW_NEWS: f64 = 0.3;
-/// A pace without news returns to the fleet's by this share a second: slow servers are tried again.
-const FORGET: f64 = 0.12;
-/// Weight of one outcome in a zone's share of silence: about the last ten count.
-const ZONE_NEWS: f64 = 0.1;
-/// Pace before any news: milliseconds until an answer per millisecond of own work sent.
-const FIRST_PACE: f64 = 0.8;
-/// A time-out counts up to this many times the fleet's pace: it may have been lost, which tells of no pace.
-const PACE_LOST: f64 = 4.0;
-/// A hint moves the work of a part by this factor at most, either way.
-const HINT_TRUST: f64 = 2.0;
-
-/// A server is ejected when its error share passes this with so many failures in a row.
+/// Smoothing factor of a server's pace and error share: about the last five outcomes count.
+pub(crate) const SMOOTHING: f64 = 0.2;
+/// The same for an answer slower than OVERDUE_FACTOR times its forecast: a broker that uses a server only
+/// every few seconds would otherwise keep sending to an overloaded one for a minute.
+const SLOW_SMOOTHING: f64 = 0.3;
+/// Share by which an unused pace returns to the fleet's each second, so that slow servers are tried again.
+const FADE: f64 = 0.12;
+/// Smoothing factor of a zone's share of silent outcomes: about the last ten count.
+const ZONE_SMOOTHING: f64 = 0.1;
+/// Initial pace: milliseconds until an answer per millisecond of own work sent.
+const INITIAL_PACE: f64 = 0.8;
+/// Limit on the pace from a time-out, as a multiple of the fleet's: a lost request says nothing about pace.
+const MAX_TIMEOUT_PACE: f64 = 4.0;
+/// Largest factor, either way, by which a hint changes the work of a part.
+const MAX_HINT_FACTOR: f64 = 2.0;
+
+/// A server is ejected above this error share, after at least this number of failures in a row.
 const EJECT_SHARE: f64 = 0.45;
-const EJECT_RUN: u32 = 2;
-/// First ejection, and the longest, in multiples of the shortest aim: long enough to spare its queries.
-const EJECT_FIRST: f64 = 0.7;
-const EJECT_LONGEST: f64 = 4.0;
-/// A connection lost says little of a server that has answered what was sent this share of the aim before.
+const EJECT_FAILURES: u32 = 2;
+/// First and longest ejection, in multiples of the shortest aim: long enough to spare its queries.
+const FIRST_EJECTION: f64 = 0.7;
+const MAX_EJECTION: f64 = 4.0;
+/// A lost connection says little if the server answered an attempt sent within this share of the aim before.
 const ALIVE_AIM: f64 = 0.25;
-/// A server that turned a part away is passed over for this share of the shortest aim.
+/// First time that a server which rejected a part as full is skipped, as a share of the shortest aim.
 const FULL_HOLD: f64 = 0.15;
 
-/// An attempt is overdue at this many times its forecast, and this share of its class's aim: sooner, copies
-/// double work that only queues, and blame its server.
-pub(crate) const OVERDUE: f64 = 3.0;
+/// An attempt is overdue at this multiple of its forecast and this share of its class's aim: earlier, hedging
+/// would double work that is only queued, and blame its server.
+pub(crate) const OVERDUE_FACTOR: f64 = 3.0;
 const OVERDUE_AIM: f64 = 0.25;
-/// A second copy goes once the attempt is late by this many times the copy's own forecast: late against its
-/// own forecast, or the copy's if that is less, since an attempt at a slow server is not waited for.
-const COPY: f64 = 2.0;
-/// Where a copy must wait for the end of the overdue attempt, that is called off only while another forecasts
-/// this share of the aim at most: on a busy fleet the work that it leaves behind would feed the overload.
-const CALL_OFF_AIM: f64 = 0.15;
-/// And once it is overdue, or this share of the aim has gone: later, another would hardly be in time.
-const CALL_OFF_LATE: f64 = 0.4;
-/// Where no rule sets a budget: free attempts, and a share of what was taken, in a window of so many aims.
-const OWN_SPARE: f64 = 6.0;
-const OWN_SHARE: f64 = 0.3;
-const OWN_SPAN_AIMS: f64 = 1.5;
-
-/// A query is refused on arrival when its forecast passes this share of its time: least and most, by worth.
+/// A hedge is sent once the attempt is late by this multiple of the hedge's forecast. It is late against the
+/// lower of the two forecasts, so that the query does not wait for an attempt at a slow server.
+const HEDGE_DELAY: f64 = 2.0;
+/// Without hedging, an overdue attempt is cancelled only if another one forecasts at most this share of the
+/// aim: on a busy fleet the work that a cancelled attempt leaves behind would feed the overload.
+const CANCEL_AIM: f64 = 0.15;
+/// And only once it is overdue or this share of the aim has passed: later, another would hardly be in time.
+const CANCEL_LATE: f64 = 0.4;
+/// Budget where the settings have none: free attempts, share of accepted requests, window in shortest aims.
+const DEFAULT_FREE_ATTEMPTS: f64 = 6.0;
+const DEFAULT_EXTRA_SHARE: f64 = 0.3;
+const DEFAULT_WINDOW_AIMS: f64 = 1.5;
+
+/// Lowest and highest share, by worth, of a query's time that its forecast may take on arrival.
 const ADMIT: (f64, f64) = (0.5, 0.75);
-/// How much longer than forecast queries take is learned, each counting so much, up to this share of the aim:
-/// under the least of ADMIT, so that an idle fleet takes queries whatever was learned.
-const LAG_NEWS: f64 = 0.1;
+/// Smoothing factor and limit (a share of the aim) of the lag of queries behind their forecast. The limit is
+/// below the lowest ADMIT, so that an idle fleet admits queries whatever was learned.
+const LAG_SMOOTHING: f64 = 0.1;
 const LAG_AIM: f64 = 0.45;
-/// So many attempts of a query that broke their connections make it suspect: one may be chance.
-const SPOILED: usize = 2;
-/// A part that a query can do without is left out while its holders all forecast more than this share of the
-/// aim: else the queries with most parts keep filling the cells that lost servers, for those that need them.
-const LEAVE_AIM: f64 = 0.12;
-/// And more than so many times what is usual; the second for one not heard within an aim: where each
-/// aggregator is one of many, such a server is filled unseen.
-const LEAVE_USUAL: (f64, f64) = (3.0, 1.0);
-/// So long, in shares of the aim, an answer waits for parts that are left out.
-pub(crate) const LEAVE_WAIT: f64 = 0.5;
-/// Most of the aim that is kept for a second step, whatever it took of late: the first has more parts.
-const SECOND_AIM: f64 = 0.5;
-/// A refused client is asked back after this share of what is left of its aim: late enough for a queue to
-/// shrink, early enough for its repeat to be in time. Past its aim: after the longest time that it heeds.
-pub(crate) const RETURN_AIM: f64 = 0.3;
-/// A try has its class's usual time within this ratio. The usual is voted for: a try that has it counts
-/// one, another takes this share away (in a storm few are first tries); it is believed from so many votes on.
-const PATIENCE_SAME: f64 = 0.99;
-const PATIENCE_SHARE: f64 = 0.15;
-const PATIENCE_VOTES: f64 = 8.0;
-/// A repeat's first try came within so many ticks of when it seems to have.
-const REPEAT_TICKS: f64 = 2.0;
-/// How much of the way from the parts' mean forecast to the slowest's counts for admission.
+/// Number of lost connections that make a query suspect: one may be chance.
+const SUSPECT_LOSSES: usize = 2;
+/// An optional part is omitted while all its holders forecast more than this share of the aim: otherwise the
+/// largest queries keep filling the cells that lost servers, which others need.
+const OMIT_AIM: f64 = 0.12;
+/// And more than this multiple of the usual forecast; the second factor is for a server silent for an aim:
+/// where each aggregator is one of many, such a server is filled unseen.
+const OMIT_USUAL: (f64, f64) = (3.0, 1.0);
+/// Time that an answer waits for omitted parts, as a share of the aim.
+pub(crate) const OMIT_WAIT_SHARE: f64 = 0.5;
+/// Largest share of the aim that is reserved for a second step: the first step has more parts.
+const SECOND_STEP_AIM: f64 = 0.5;
+/// Retry advice, as a share of the aim's remaining time: late enough for a queue to shrink, early enough for
+/// the retry to be in time. Past its aim, the longest advice that clients heed.
+pub(crate) const RETRY_SHARE: f64 = 0.3;
+/// A query has its class's usual time-out within this ratio. One that has it adds a vote, another takes this
+/// share of one (in a retry storm few are first tries); the usual time-out counts from this number of votes.
+const TIMEOUT_RATIO: f64 = 0.99;
+const TIMEOUT_DISSENT: f64 = 0.15;
+const TIMEOUT_VOTES: f64 = 8.0;
+/// Tolerance, in ticks, on the time at which a retry's first try seems to have come.
+const RETRY_TICKS: f64 = 2.0;
+/// Weight, for admission, of the slowest part's forecast against the parts' mean.
 const SLOWEST: f64 = 0.5;
-/// A tenant is over its share at this multiple of its even part of the quota: streams here are uneven.
+/// A tenant is over its share at this multiple of its even part of the quota: the streams are uneven.
 const QUOTA_SLACK: f64 = 1.3;
-/// A batch this share of the aim after it was due: this aggregator itself stood still.
+/// A batch later than this share of the aim shows that this process itself was paused.
 const PAUSE_AIM: f64 = 0.05;
-/// Ticks kept free before a client's time is up, for the way back and the batch in which it is seen.
+/// Ticks kept free before a deadline, for the reply's way back and the batch in which it is noticed.
 pub(crate) const REPLY_TICKS: f64 = 2.0;
-/// After so many aims without an answer, one that answers again is taken for just started.
+/// A server that answers after a silence of this number of aims is taken for newly started.
 const COLD_SILENCE: f64 = 2.5;
-/// First and longest wait before the list is asked again, as shares of the time after which we count as told.
-const ASK: (f64, f64) = (0.03, 0.3);
-/// Share of a cold server's limit that all may use together: traffic comes in bursts, and part of it unseen.
+/// First and longest wait before the list is requested again, as shares of the list deadline.
+const WATCH_WAIT: (f64, f64) = (0.03, 0.3);
+/// Share of a cold server's limit that all may use together: traffic is bursty, and part of it unseen.
 const COLD_SAFE: f64 = 0.75;
-/// Turns by chance add up to a number that scatters: so many times its root is kept free below the limit.
+/// Random sends to a cold server scatter: this multiple of their root is kept free below the limit.
 const COLD_SCATTER: f64 = 2.0;
-/// And demand may grow all at once by this factor, as where the last warm server of a cell goes.
+/// And demand may grow at once by this factor, as when the last warm server of a cell goes.
 const COLD_SURGE: f64 = 2.0;
-/// Sums of weights may fall this short: they are rounded on their way.
-pub(crate) const ROUNDING: f64 = 5e-5;
-/// With nothing in hand, look around this often, in ticks.
+/// Tolerance on sums of weights, which are rounded in transit.
+pub(crate) const TOLERANCE: f64 = 5e-5;
+/// Ticks between two wake-ups while no query is open.
 const IDLE_TICKS: f64 = 50.0;
 
 /// The decisions of one aggregator.
 pub struct Aggregator {
-    pub(crate) set: Settings,
-    dice: Dice,
-    pub(crate) now: Ms,
-    pub(crate) out: Vec<Action>,
+    pub(crate) settings: Settings,
+    random: Random,
+    pub(crate) now: Millis,
+    pub(crate) actions: Vec<Action>,
     pub(crate) fleet: Fleet,
     pub(crate) desk: Desk,
-    pub(crate) learned: Vec<Learned>,
+    pub(crate) learned: Vec<ClassEstimates>,
     pub(crate) fleet_pace: f64,
     pub(crate) fleet_rescaled: f64,
-    next_second: Ms,
-    pub(crate) tenant_taken: Vec<VecDeque<Ms>>,
-    ask_at: Option<Ms>,
-    ask_wait: Ms,
+    next_second: Millis,
+    pub(crate) tenant_arrivals: Vec<VecDeque<Millis>>,
+    watch_at: Option<Millis>,
+    watch_wait: Millis,
     /// When the next batch is due.
-    wake_at: Ms,
-    pub(crate) shortest_aim: Ms,
+    wake_at: Millis,
+    pub(crate) shortest_aim: Millis,
     /// What this aggregator itself needs; nothing until its caller tells.
-    pub(crate) own: OwnTime,
+    pub(crate) overhead: Overhead,
     /// Whether each turn looks at everything, and how much was looked at.
     pub(crate) all: bool,
     pub(crate) looks: Cell<u64>,
@@ -156,41 +156,41 @@
 
 impl Aggregator {
     /// An aggregator that knows only its settings. The same seed and events give the same actions.
-    pub fn new(set: Settings, seed: u64) -> Self {
-        let width = Width { rows: set.reach.max(1) as f64, ..Default::default() };
-        let work = Work::new(set.call_work);
-        let served_rate = 1.0 / set.aggregators.max(1) as f64;
-        let first = Learned { width, work, second: work.unit(), ..Default::default() };
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        let width = Width { rows: settings.reach.max(1) as f64, ..Default::default() };
+        let work = Work::new(settings.call_work);
+        let served_rate = 1.0 / settings.aggregators.max(1) as f64;
+        let first = ClassEstimates { width, work, second_step: work.unit(), ..Default::default() };
         Aggregator {
-            dice: Dice::new(seed),
+            random: Random::new(seed),
             now: 0.0,
-            out: Vec::new(),
+            actions: Vec::new(),
             fleet: Fleet::default(),
-            desk: Desk { demand: Demand::new(set.cells), served_rate, ..Desk::default() },
-            learned: vec![first; set.classes.len()],
-            fleet_pace: FIRST_PACE,
-            fleet_rescaled: FIRST_PACE,
+            desk: Desk { demand: Demand::new(settings.cells), served_rate, ..Desk::default() },
+            learned: vec![first; settings.classes.len()],
+            fleet_pace: INITIAL_PACE,
+            fleet_rescaled: INITIAL_PACE,
             next_second: f64::NEG_INFINITY,
-            tenant_taken: vec![VecDeque::new(); set.tenants.len()],
-            ask_at: (set.list == ListSource::OnRequest).then_some(f64::NEG_INFINITY),
-            ask_wait: set.ask_within.min(set.cold.warm_after) * ASK.0,
+            tenant_arrivals: vec![VecDeque::new(); settings.tenants.len()],
+            watch_at: (settings.list == ListSource::OnRequest).then_some(f64::NEG_INFINITY),
+            watch_wait: settings.list_deadline.min(settings.cold.warm_after) * WATCH_WAIT.0,
             wake_at: f64::INFINITY,
-            shortest_aim: set.shortest_aim(),
-            own: OwnTime::default(),
+            shortest_aim: settings.shortest_aim(),
+            overhead: Overhead::default(),
             all: false,
             looks: Cell::new(0),
-            set,
+            settings,
         }
     }
 
     /// Takes all events of one moment and says what to do. Sends are decided last, so that they bundle.
-    pub fn on_batch(&mut self, now: Ms, events: Vec<Event>) -> Vec<Action> {
+    pub fn on_batch(&mut self, now: Millis, events: Vec<Event>) -> Vec<Action> {
         self.now = now;
         self.desk.stood = now > self.wake_at + PAUSE_AIM * self.shortest_aim;
         self.fleet.begin_batch();
         for event in events {
             match event {
-                Event::List { kind, members } => self.hear_list(kind, members),
+                Event::List { kind, members } => self.apply_list(kind, members),
                 Event::Query(query) => self.take_query(query),
                 Event::Part(part) => self.take_part(part),
                 Event::Ended { part, attempt, outcome, elapsed, load } => {
@@ -201,9 +201,9 @@
                         flight.connected = Some(since);
                     }
                 }
-                Event::Gone(id) => {
+                Event::ClientGone(id) => {
                     if let Some(q) = self.desk.queries.remove(&id) {
-                        self.learned[q.class].patience.note_unserved(q.asked);
+                        self.learned[q.class].client_timeout.note_unserved(q.first_asked_at);
                         self.forget(&id, &q);
                     }
                 }
@@ -212,8 +212,8 @@
             }
         }
         estimates::rescale(&mut self.learned, &mut self.fleet.servers);
-        if self.ask_at.take_if(|at| now >= *at).is_some() {
-            self.out.push(Action::Watch);
+        if self.watch_at.take_if(|at| now >= *at).is_some() {
+            self.actions.push(Action::Watch);
         }
         self.each_second();
         for id in self.due() {
@@ -225,32 +225,31 @@
             }
         }
         self.set_wake();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     fn set_wake(&mut self) {
         if self.wake_at == f64::INFINITY {
             let ticks = if self.desk.queries.is_empty() { IDLE_TICKS } else { 1.0 };
-            let after = ticks * self.set.tick.max(1.0);
-            self.out.push(Action::Wake { after });
+            let after = ticks * self.settings.tick.max(1.0);
+            self.actions.push(Action::Wake { after });
             self.wake_at = self.now + after;
         }
     }
 
-    // ---- the list of servers
-
-    fn hear_list(&mut self, kind: ListKind, members: Vec<Member>) {
+    fn apply_list(&mut self, kind: ListKind, members: Vec<Member>) {
         if kind == ListKind::Error {
             // A list service that fails is often asked too much: wait longer each time, spread out.
-            let wait = self.ask_wait * (0.5 + self.dice.random());
-            self.ask_at = (self.set.list == ListSource::OnRequest).then_some(self.now + wait);
-            self.ask_wait = (self.ask_wait * 2.0).min(self.set.ask_within * ASK.1);
+            let wait = self.watch_wait * (0.5 + self.random.unit());
+            self.watch_at = (self.settings.list == ListSource::OnRequest).then_some(self.now + wait);
+            self.watch_wait = (self.watch_wait * 2.0).min(self.settings.list_deadline * WATCH_WAIT.1);
             return;
         }
         if kind != ListKind::Disk {
-            self.ask_wait = self.set.ask_within.min(self.set.cold.warm_after) * ASK.0;
+            self.watch_wait = self.settings.list_deadline.min(self.settings.cold.warm_after) * WATCH_WAIT.0;
         }
-        let whole = kind != ListKind::Changes || !self.fleet.has_rows(self.set.cells, self.set.reach);
+        let whole =
+            kind != ListKind::Changes || !self.fleet.has_rows(self.settings.cells, self.settings.reach);
         if kind != ListKind::Changes {
             self.fleet.servers.iter_mut().for_each(|s| s.state = NodeState::Gone);
         }
@@ -258,7 +257,7 @@
         for m in members {
             let server = self.fleet.member(m.node.clone(), self.fleet_pace, self.fleet_rescaled);
             let was = self.fleet.cell(server);
-            self.hear_member(server, m);
+            self.apply_member(server, m);
             if !whole {
                 self.fleet.moved(server, was, &mut concerned);
             }
@@ -266,13 +265,13 @@
         self.make_rows((!whole).then_some(concerned));
     }
 
-    fn hear_member(&mut self, server: usize, m: Member) {
+    fn apply_member(&mut self, server: usize, m: Member) {
         let s = &mut self.fleet.servers[server];
         s.cell = m.cell;
         s.state = m.state;
         s.zone = m.zone;
         if let Some(start) = m.started
-            && start + self.set.cold.warm_after > self.now
+            && start + self.settings.cold.warm_after > self.now
             && s.cold_since.is_none_or(|c| c < start)
         {
             s.cold_since = Some(start);
@@ -281,165 +280,158 @@
         }
     }
 
-    // ---- arrivals
-
-    /// When the client first asked. Its tries share one limit, so a try with less time than the class's usual
-    /// is a repeat that ends with it. Else a retry storm fills the fleet with answers past their aim.
-    /// Unmarked, it is believed only where a usual patience shows, and where it would have begun with a query
-    /// that went unserved: clients may turn impatient all at once, and their first tries are no repeats.
-    pub(crate) fn first_asked(&mut self, class: usize, q: &Query) -> Ms {
-        let left = q.patience_ends - self.now;
-        let p = &mut self.learned[class].patience;
-        let same = (left - p.usual).abs() <= (1.0 - PATIENCE_SAME) * p.usual;
-        p.votes = (p.votes + if same { 1.0 } else { -PATIENCE_SHARE }).min(PATIENCE_VOTES * 2.0);
+    /// Returns when the client first asked. All its tries share one time limit, so that a query with less
+    /// time than is usual in its class is a retry that ends with that limit. To count it as new would, in a
+    /// retry storm, fill the fleet with answers past their aim. Where clients do not mark retries, one is
+    /// assumed only if the class shows a usual time-out and a query that began at that time went unserved:
+    /// clients may shorten their time-outs all at once, and their first tries are no retries.
+    pub(crate) fn first_asked(&mut self, class: usize, q: &Query) -> Millis {
+        let left = q.client_deadline - self.now;
+        let p = &mut self.learned[class].client_timeout;
+        let same = (left - p.usual).abs() <= (1.0 - TIMEOUT_RATIO) * p.usual;
+        p.votes = (p.votes + if same { 1.0 } else { -TIMEOUT_DISSENT }).min(TIMEOUT_VOTES * 2.0);
         if p.votes < 0.0 {
             (p.usual, p.votes) = (left, 1.0);
         }
-        let shortened = left < p.usual * PATIENCE_SAME;
-        let since = (q.patience_ends - self.set.classes[class].give_up).min(self.now);
-        let usual = shortened && !self.set.marks_again && p.votes >= PATIENCE_VOTES;
-        if shortened && q.again || usual && p.take_unserved(since, REPEAT_TICKS * self.set.tick) {
+        let shortened = left < p.usual * TIMEOUT_RATIO;
+        let since = (q.client_deadline - self.settings.classes[class].give_up).min(self.now);
+        let usual = shortened && !self.settings.clients_mark_retries && p.votes >= TIMEOUT_VOTES;
+        if shortened && q.is_retry || usual && p.take_unserved(since, RETRY_TICKS * self.settings.tick) {
             since
         } else {
             self.now
         }
     }
 
-    // ---- one query, once a batch
-
     /// Moves a query on. True once its final answer is given.
-    fn run_query(&mut self, id: &RequestId, q: &mut Held) -> bool {
+    fn run_query(&mut self, id: &RequestId, q: &mut QueryState) -> bool {
         self.advance(q);
         if self.may_reply(q) && self.reply(id, q) {
             return true;
         }
-        let plan = !q.planned && q.step_from < q.pieces.len();
+        let plan = !q.planned && q.step_start < q.parts.len();
         if plan {
             q.planned = true;
-            q.recount(&self.set, self.now);
-            if q.first_whole.is_none() && !self.admit(id, q) {
+            q.recount(&self.settings, self.now);
+            if q.first_answer_whole.is_none() && !self.admit(id, q) {
                 // Refusals bring no news: without this, one bad spell would be believed for ever.
-                self.learned[q.class].lag *= 1.0 - LAG_NEWS / 2.0;
+                self.learned[q.class].lag *= 1.0 - LAG_SMOOTHING / 2.0;
                 q.forecast = 0.0;
                 return self.end_unserved(id, q);
             }
             self.plan_rows(q);
             self.plan_reserve(q);
         }
-        self.run_pieces(q, plan);
+        self.run_parts(q, plan);
         false
     }
 
-    fn work(&self, q: &Held, i: usize) -> Ms {
+    fn work(&self, q: &QueryState, i: usize) -> Millis {
         // Hints may be off by several times: they shift the measured work of a part, within bounds.
         let unit = self.learned[q.class].work.unit();
-        q.pieces[i].hint.map_or(unit, |hint| hint.clamp(unit / HINT_TRUST, unit * HINT_TRUST))
+        q.parts[i].hint.map_or(unit, |hint| hint.clamp(unit / MAX_HINT_FACTOR, unit * MAX_HINT_FACTOR))
     }
 
-    // ---- rows and turns
-
     /// The ordinary path: random whole rows, parts by turns over them. The rows are neighbours, and turns run
     /// from the last to the first, one turn for all parts with the same holders: on a ring the parts of
     /// neighbouring shards then meet at one server, in a set those of one cell do, and share a call.
-    fn plan_rows(&mut self, q: &mut Held) {
-        let rows = q.pieces[q.step_from..].iter().map(|p| self.fleet.rows.of(p.shard).len()).max();
+    fn plan_rows(&mut self, q: &mut QueryState) {
+        let rows = q.parts[q.step_start..].iter().map(|p| self.fleet.rows.of(p.shard).len()).max();
         let rows = rows.unwrap_or(0).max(1);
         let wanted = self.learned[q.class].width.rows.clamp(1.0, rows as f64);
-        let width = (wanted.floor() as usize + usize::from(self.dice.random() < wanted.fract())).min(rows);
-        let first = self.dice.below(rows);
-        let offset = self.dice.below(width);
+        let width = (wanted.floor() as usize + usize::from(self.random.unit() < wanted.fract())).min(rows);
+        let first = self.random.below(rows);
+        let offset = self.random.below(width);
         let mut turns: BTreeMap<usize, usize> = BTreeMap::new();
-        for i in q.step_from..q.pieces.len() {
-            let home = q.pieces[i].shard % self.set.cells.max(1);
+        for i in q.step_start..q.parts.len() {
+            let home = q.parts[i].shard % self.settings.cells.max(1);
             let next = turns.len();
             let turn = *turns.entry(home).or_insert(next);
             let row = (first + width - 1 - (offset + turn) % width) % rows;
-            let holders = self.fleet.rows.of(q.pieces[i].shard);
-            q.pieces[i].row_holder = (!holders.is_empty()).then(|| holders[row % holders.len()]);
+            let holders = self.fleet.rows.of(q.parts[i].shard);
+            q.parts[i].row_holder = (!holders.is_empty()).then(|| holders[row % holders.len()]);
         }
     }
 
     /// An any-k class is asked for just enough parts at first; the rest wait until one is overdue or fails.
     /// Left out are the parts whose servers are furthest behind.
-    fn plan_reserve(&mut self, q: &mut Held) {
-        let class = &self.set.classes[q.class];
-        let mut spare = if q.step_from == 0 { 1.0 - class.need } else { 0.0 };
-        if spare <= ROUNDING {
+    fn plan_reserve(&mut self, q: &mut QueryState) {
+        let class = &self.settings.classes[q.class];
+        let mut spare = if q.step_start == 0 { 1.0 - class.need } else { 0.0 };
+        if spare <= TOLERANCE {
             return;
         }
-        let mut order: Vec<(f64, usize)> = (0..q.pieces.len())
+        let mut order: Vec<(f64, usize)> = (0..q.parts.len())
             .map(|i| {
-                let holder = q.pieces[i].row_holder;
+                let holder = q.parts[i].row_holder;
                 (holder.map_or(f64::INFINITY, |s| self.forecast(s, q.class, self.work(q, i))), i)
             })
             .collect();
         order.sort_by(|a, b| b.0.total_cmp(&a.0));
         for (_, i) in order {
-            if q.pieces[i].weight <= spare + ROUNDING {
-                spare -= q.pieces[i].weight;
-                q.pieces[i].reserve = true;
+            if q.parts[i].weight <= spare + TOLERANCE {
+                spare -= q.parts[i].weight;
+                q.parts[i].in_reserve = true;
             }
         }
     }
 
-    // ---- which server: the row holder, or a borrowed one
-
     /// Time until an answer for that much more work: work out at the server's pace, the time by which its
     /// oldest attempt is overdue (older than the newest answered: lost alone), errors, a full one's wait.
-    fn forecast(&self, server: usize, class: usize, work: Ms) -> Ms {
+    fn forecast(&self, server: usize, class: usize, work: Millis) -> Millis {
         self.forecast_at(self.fleet.servers[server].pace.told(), server, class, work)
     }
 
-    fn forecast_at(&self, pace: f64, server: usize, class: usize, work: Ms) -> Ms {
+    fn forecast_at(&self, pace: f64, server: usize, class: usize, work: Millis) -> Millis {
         let s = &self.fleet.servers[server];
-        let oldest = s.flying.iter().find(|(sent, _)| *sent > s.last_served_sent);
+        let oldest = s.in_flight.iter().find(|(sent, _)| *sent > s.last_served_sent);
         let late = oldest.map_or(0.0, |(sent, expected)| self.now - sent - expected).max(0.0);
         let wait = late + (s.full_until - self.now).max(0.0);
         // Not heard for an aim: its zone's silence warns of it, so that a cut is not met at each server anew.
-        let unheard = s.zone.filter(|_| s.heard < self.now - self.shortest_aim);
+        let unheard = s.zone.filter(|_| s.last_response_at < self.now - self.shortest_aim);
         let zone = unheard.and_then(|z| self.fleet.silence.get(&z)).copied().unwrap_or(0.0);
-        let own = s.of_class.get(&class).map_or(0.0, |c| c.errors);
+        let own = s.by_class.get(&class).map_or(0.0, |c| c.errors);
         let errors = s.errors.max(zone).max(own) * ERROR_AIM * self.shortest_aim;
-        pace * (self.others(s) + s.work_out + work) + wait + errors
+        pace * (self.others(s) + s.work_in_flight + work) + wait + errors
     }
 
     /// Work of the call that a further part would open at this server; parts sent in this batch share theirs.
-    fn call_work(&self, server: usize) -> Ms {
-        let opens = self.fleet.servers[server].bundled.is_multiple_of(self.set.batch.max(1));
-        if opens { self.set.call_work } else { 0.0 }
+    fn call_work(&self, server: usize) -> Millis {
+        let opens = self.fleet.servers[server].batch_parts.is_multiple_of(self.settings.batch.max(1));
+        if opens { self.settings.call_work } else { 0.0 }
     }
 
     /// Whether a server may be picked at all: not ejected, not full, and within its allowance if cold.
-    fn fit(&self, server: usize, work: Ms) -> bool {
+    fn fit(&self, server: usize, work: Millis) -> bool {
         self.sound(server) && self.cold_room(server, work)
     }
 
     fn sound(&self, server: usize) -> bool {
         let s = &self.fleet.servers[server];
-        (s.failures < EJECT_RUN || s.flying.is_empty()) && self.now >= s.shun_until
+        (s.consecutive_failures < EJECT_FAILURES || s.in_flight.is_empty()) && self.now >= s.ejected_until
     }
 
     /// Whether a part for this server leaves our zone.
     fn crosses(&self, server: usize) -> bool {
         let zone = self.fleet.servers[server].zone;
-        zone.is_some() && self.set.zone.is_some() && zone != self.set.zone
+        zone.is_some() && self.settings.zone.is_some() && zone != self.settings.zone
     }
 
     /// Borrow: the row holder unless it is unfit or clearly behind; then the holder with the best forecast. A
     /// server that this batch calls already needs no new call, so it is preferred. With no fit holder the
     /// best of the others serves: the last holder is never ejected. None: all are gone, or cold and filled.
-    fn pick(&self, q: &Held, i: usize, room: impl Fn(&Self, usize, Ms) -> bool) -> Option<usize> {
-        let piece = &q.pieces[i];
+    fn pick(&self, q: &QueryState, i: usize, room: impl Fn(&Self, usize, Millis) -> bool) -> Option<usize> {
+        let part = &q.parts[i];
         let work = self.work(q, i);
-        let class = &self.set.classes[q.class];
+        let class = &self.settings.classes[q.class];
         let at_cold = self.learned[q.class].work.at_cold(work, class.aim);
         let room = |s: &usize| room(self, *s, at_cold);
         let fit = |s: &usize| self.sound(*s) && room(s);
-        let used = |s: &usize| piece.tries.iter().any(|t| t.server == *s);
-        let holders = self.fleet.rows.of(piece.shard);
+        let used = |s: &usize| part.attempts.iter().any(|t| t.server == *s);
+        let holders = self.fleet.rows.of(part.shard);
         let fresh = holders.iter().any(|s| !used(s));
         let open = |s: &usize| !(fresh && used(s));
-        let cross = CROSS_AIM * self.set.classes[q.class].aim;
+        let cross = CROSS_AIM * self.settings.classes[q.class].aim;
         let score = |s: usize| {
             let crossing = if self.crosses(s) { cross } else { 0.0 };
             self.forecast(s, q.class, work + self.call_work(s)) + crossing
@@ -448,62 +440,60 @@
         let Some(best_fit) = best(&mut holders.iter().copied().filter(|s| open(s) && fit(s))) else {
             return best(&mut holders.iter().copied().filter(|s| open(s) && room(s)));
         };
-        let margin = BEHIND_AIM * self.set.classes[q.class].aim;
+        let margin = BEHIND_AIM * self.settings.classes[q.class].aim;
         // What this batch has put there shares the call: a row's holder is not behind for it.
-        let own = |s: usize| self.fleet.servers[s].pace.told() * self.fleet.servers[s].bundled_work;
+        let own = |s: usize| self.fleet.servers[s].pace.told() * self.fleet.servers[s].batch_work;
         let keeps = |s: &usize| open(s) && fit(s) && score(*s) - own(*s) <= score(best_fit) + margin;
-        piece.row_holder.filter(|s| holders.contains(s) && keeps(s)).or(Some(best_fit))
+        part.row_holder.filter(|s| holders.contains(s) && keeps(s)).or(Some(best_fit))
     }
 
     /// Notes that a part wants a server, and which cold one, if any, it would go to.
-    fn want(&mut self, q: &Held, i: usize) {
-        self.desk.demand.part(q.pieces[i].shard);
+    fn want(&mut self, q: &QueryState, i: usize) {
+        self.desk.demand.part(q.parts[i].shard);
         let cold = |s: &usize| self.fleet.servers[*s].cold_since.is_some();
-        if self.fleet.rows.of(q.pieces[i].shard).iter().any(cold)
+        if self.fleet.rows.of(q.parts[i].shard).iter().any(cold)
             && let Some(s) = self.pick(q, i, |_, _, _| true)
         {
-            self.fleet.servers[s].wished = true;
+            self.fleet.servers[s].wanted = true;
         }
     }
 
     /// Whether a part is left out for now: an answer may be given without it, and its holders are all behind.
     /// The parts that were first keep the room that the floor gives, so that a query does not waver.
-    fn leaves(&self, q: &Held, i: usize) -> bool {
-        let class = &self.set.classes[q.class];
-        let spare = if q.step_from == 0 { class.need - class.floor } else { 0.0 };
-        let most = spare + ROUNDING;
-        spare > ROUNDING && self.behind(q, i) && self.without(q, i, most) <= most
+    fn should_omit(&self, q: &QueryState, i: usize) -> bool {
+        let class = &self.settings.classes[q.class];
+        let spare = if q.step_start == 0 { class.need - class.floor } else { 0.0 };
+        let most = spare + TOLERANCE;
+        spare > TOLERANCE && self.behind(q, i) && self.without(q, i, most) <= most
     }
 
     /// Whether no holder of a part's shard may be sent to and forecasts an answer soon.
-    fn behind(&self, q: &Held, i: usize) -> bool {
-        let (work, aim) = (self.work(q, i), self.set.classes[q.class].aim);
-        let usual = self.fleet_pace * (work + self.set.call_work);
+    fn behind(&self, q: &QueryState, i: usize) -> bool {
+        let (work, aim) = (self.work(q, i), self.settings.classes[q.class].aim);
+        let usual = self.fleet_pace * (work + self.settings.call_work);
         let soon = |s: usize| {
-            let heard = self.fleet.servers[s].heard > self.now - aim;
-            let times = if heard { LEAVE_USUAL.0 } else { LEAVE_USUAL.1 };
-            self.fit(s, work) && self.forecast(s, q.class, work) <= (LEAVE_AIM * aim).max(times * usual)
+            let heard = self.fleet.servers[s].last_response_at > self.now - aim;
+            let times = if heard { OMIT_USUAL.0 } else { OMIT_USUAL.1 };
+            self.fit(s, work) && self.forecast(s, q.class, work) <= (OMIT_AIM * aim).max(times * usual)
         };
-        !self.fleet.rows.of(q.pieces[i].shard).iter().copied().any(soon)
+        !self.fleet.rows.of(q.parts[i].shard).iter().copied().any(soon)
     }
 
-    // ---- attempts
-
     /// Sends a part's first attempt, a retry of a failed one, or a second copy of an overdue one.
     /// False if none beyond a first may go in this turn.
-    pub(crate) fn run_piece(&mut self, q: &mut Held, i: usize) -> bool {
-        let piece = &q.pieces[i];
-        if piece.served || piece.tried() >= q.max_attempts {
+    pub(crate) fn run_part(&mut self, q: &mut QueryState, i: usize) -> bool {
+        let part = &q.parts[i];
+        if part.served || part.attempts_used() >= q.max_attempts {
             return true;
         }
-        let idle = piece.tries.last().is_none_or(|t| t.outcome.is_some());
-        q.pieces[i].left = idle && self.leaves(q, i);
-        let piece = &q.pieces[i];
-        if piece.left {
+        let idle = part.attempts.last().is_none_or(|t| t.outcome.is_some());
+        q.parts[i].omitted = idle && self.should_omit(q, i);
+        let part = &q.parts[i];
+        if part.omitted {
             return true;
         }
-        if piece.tries.is_empty() {
-            if piece.reserve && !self.any_troubled(q) {
+        if part.attempts.is_empty() {
+            if part.in_reserve && !self.any_troubled(q) {
                 return true;
             }
             self.want(q, i);
@@ -512,15 +502,15 @@
             }
             return true;
         }
-        if !Self::may_repeat(&self.set, self.now, q, piece) {
+        if !Self::may_repeat(&self.settings, self.now, q, part) {
             return true;
         }
-        if self.spoiled(q) {
+        if self.is_suspect(q) {
             return false;
         }
-        let out = piece.tries.iter().any(|t| t.outcome.is_none());
-        let (age, expected) = piece.tries.last().map_or((0.0, 0.0), |t| (self.now - t.sent, t.expected));
-        if out && !self.late(q, piece) {
+        let out = part.attempts.iter().any(|t| t.outcome.is_none());
+        let (age, expected) = part.attempts.last().map_or((0.0, 0.0), |t| (self.now - t.sent, t.expected));
+        if out && !self.late(q, part) {
             return true;
         }
         if !self.budget_left() {
@@ -531,30 +521,30 @@
         let forecast = self.forecast(s, q.class, self.work(q, i) + self.call_work(s));
         // A copy must come in time to count, and the overdue one be late by more than a copy takes: on a busy
         // fleet copies then wait, on an idle one they go soon.
-        let piece = &q.pieces[i];
-        let newest = &piece.tries[piece.tries.len() - 1];
+        let part = &q.parts[i];
+        let newest = &part.attempts[part.attempts.len() - 1];
         let there = &self.fleet.servers[newest.server];
         let same = out && newest.server == s;
         // Nothing was heard from there since, and the query's other parts took far less: not slow but lost.
-        let lost = there.heard < newest.sent && age > OVERDUE * self.longest_served(q);
-        let soon = age <= expected.min(forecast) + COPY * forecast;
+        let lost = there.last_response_at < newest.sent && age > OVERDUE_FACTOR * self.longest_served(q);
+        let soon = age <= expected.min(forecast) + HEDGE_DELAY * forecast;
         if out && (same || soon || !self.fit(s, 0.0) || self.now + forecast > self.useful_end(q)) {
             return true;
         }
-        if out && !self.set.second_copies {
+        if out && !self.settings.hedging {
             // What is merely slow has most of its work behind it, which would be lost. To wait for
             // what is lost costs all parts that are in: the more of them, the longer another may take.
-            let aim = self.set.classes[q.class].aim;
-            let served = self.broken_and_served(q).1 as f64 / q.pieces.len() as f64;
-            let pays = if lost { served * (q.asked + aim - self.now) } else { 0.0 };
-            let early = age <= (OVERDUE * expected).min(CALL_OFF_LATE * aim);
-            if early || forecast > pays.max(CALL_OFF_AIM * aim) {
+            let aim = self.settings.classes[q.class].aim;
+            let served = self.broken_and_served(q).1 as f64 / q.parts.len() as f64;
+            let pays = if lost { served * (q.first_asked_at + aim - self.now) } else { 0.0 };
+            let early = age <= (OVERDUE_FACTOR * expected).min(CANCEL_LATE * aim);
+            if early || forecast > pays.max(CANCEL_AIM * aim) {
                 return true;
             }
             // One attempt at most may be out: this one is called off, and once that is reported another goes.
             // To wait on would lose the query with a single answer that was lost or a single slow server.
-            let attempt = piece.tries.len() as u32 - 1;
-            self.out.push(Action::Cancel { part: piece.id.clone(), attempt });
+            let attempt = part.attempts.len() as u32 - 1;
+            self.actions.push(Action::Cancel { part: part.id.clone(), attempt });
             return true;
         }
         self.desk.extras.push_back(self.now);
@@ -563,16 +553,16 @@
     }
 
     /// Asked for, not served, and its latest attempt has failed or is late.
-    pub(crate) fn troubled(&self, q: &Held, p: &Piece) -> bool {
-        !p.served && (self.late(q, p) || p.tries.last().is_some_and(|t| t.outcome.is_some()))
+    pub(crate) fn failed_or_late(&self, q: &QueryState, p: &PartState) -> bool {
+        !p.served && (self.late(q, p) || p.attempts.last().is_some_and(|t| t.outcome.is_some()))
     }
 
-    fn late(&self, q: &Held, p: &Piece) -> bool {
-        let floor = self.late_floor(q);
-        p.tries.last().is_some_and(|t| self.now - t.sent > t.expected.max(floor))
+    fn late(&self, q: &QueryState, p: &PartState) -> bool {
+        let floor = self.min_late_age(q);
+        p.attempts.last().is_some_and(|t| self.now - t.sent > t.expected.max(floor))
     }
 
-    pub(crate) fn late_floor(&self, q: &Held) -> Ms {
+    pub(crate) fn min_late_age(&self, q: &QueryState) -> Millis {
         OVERDUE_AIM * self.step_time(q)
     }
 
@@ -580,19 +570,19 @@
     /// bring down each server that begins it. It is not tried further; with none served, it ends.
     /// Also holds where a zone or many servers die at once: such queries come back later. Others go on.
     /// A server that has answered since is up: it lost that connection alone.
-    pub(crate) fn spoiled(&self, q: &Held) -> bool {
+    pub(crate) fn is_suspect(&self, q: &QueryState) -> bool {
         let (broken, served) = self.broken_and_served(q);
-        broken >= SPOILED && broken > served
+        broken >= SUSPECT_LOSSES && broken > served
     }
 
     /// What the class lets us repeat (rule 2). Attempts that never ran do not count.
-    pub(crate) fn may_repeat(set: &Settings, now: Ms, q: &Held, p: &Piece) -> bool {
-        let mut live = p.tries.iter().filter(|t| !t.outcome.is_some_and(never_ran)).peekable();
-        let out = p.tries.iter().filter(|t| t.outcome.is_none()).count();
-        if out > usize::from(set.second_copies || set.cancel) {
+    pub(crate) fn may_repeat(settings: &Settings, now: Millis, q: &QueryState, p: &PartState) -> bool {
+        let mut live = p.attempts.iter().filter(|t| !t.outcome.is_some_and(never_ran)).peekable();
+        let out = p.attempts.iter().filter(|t| t.outcome.is_none()).count();
+        if out > usize::from(settings.hedging || settings.cancel) {
             return false;
         }
-        match set.classes[q.class].semantics {
+        match settings.classes[q.class].semantics {
             Semantics::Safe => true,
             Semantics::Unsafe => live.peek().is_none(),
             Semantics::Keyed { window } => live.peek().is_none_or(|t| now < t.sent + window),
@@ -602,100 +592,104 @@
     /// Room for one more attempt beyond a first in the rule's exact sliding window, or our own where none
     /// is set, so that retries and copies cannot feed an overload.
     fn budget_left(&mut self) -> bool {
-        let span = OWN_SPAN_AIMS * self.shortest_aim;
-        let own = AttemptBudget { spare: OWN_SPARE, per_request: OWN_SHARE, span };
-        let rule = self.set.budget.unwrap_or(own);
-        let from = self.now - rule.span;
+        let span = DEFAULT_WINDOW_AIMS * self.shortest_aim;
+        let own = AttemptBudget {
+            free_attempts: DEFAULT_FREE_ATTEMPTS,
+            per_request: DEFAULT_EXTRA_SHARE,
+            window: span,
+        };
+        let rule = self.settings.budget.unwrap_or(own);
+        let from = self.now - rule.window;
         // The window's ends are taken so that neither reading of them allows more than the rule.
-        trim(&mut self.desk.taken, from + self.set.tick);
-        trim(&mut self.desk.extras, from - self.set.tick);
-        (self.desk.extras.len() + 1) as f64 <= rule.spare + rule.per_request * self.desk.taken.len() as f64
+        remove_before(&mut self.desk.taken, from + self.settings.tick);
+        remove_before(&mut self.desk.extras, from - self.settings.tick);
+        (self.desk.extras.len() + 1) as f64
+            <= rule.free_attempts + rule.per_request * self.desk.taken.len() as f64
     }
 
-    fn send(&mut self, q: &mut Held, i: usize, server: usize) {
+    fn send(&mut self, q: &mut QueryState, i: usize, server: usize) {
         let work = self.work(q, i) + self.call_work(server);
-        let own = if q.pieces[i].tries.is_empty() { q.own } else { self.own_time(1) };
+        let overhead = if q.parts[i].attempts.is_empty() { q.overhead } else { self.query_overhead(1) };
         let forecast = self.forecast(server, q.class, work);
-        let expected = forecast + own;
+        let expected = forecast + overhead;
         let others = self.others(&self.fleet.servers[server]);
-        let end = self.useful_end(q).min(q.give_up_at);
-        let within = (end < q.give_up_at).then_some((end - self.now).max(self.set.tick));
-        let at_cold = self.learned[q.class].work.at_cold(work, self.set.classes[q.class].aim);
+        let end = self.useful_end(q).min(q.deadline);
+        let timeout = (end < q.deadline).then_some((end - self.now).max(self.settings.tick));
+        let at_cold = self.learned[q.class].work.at_cold(work, self.settings.classes[q.class].aim);
         let s = &mut self.fleet.servers[server];
-        s.work_out += work;
-        s.bundled += 1;
+        s.work_in_flight += work;
+        s.batch_parts += 1;
         self.fleet.called.push(server);
-        s.bundled_work += work;
-        s.flying.push((self.now, expected));
-        s.note_sent(self.now, at_cold, self.set.cold.fall_after);
-        let (class, scale, ahead) = (q.class, self.learned[q.class].work.scale(), others + s.work_out);
-        let (sent, busy) = (self.now, self.own.busy);
+        s.batch_work += work;
+        s.in_flight.push((self.now, expected));
+        s.note_sent(self.now, at_cold, self.settings.cold.overload_time);
+        let (class, scale, queued) = (q.class, self.learned[q.class].work.scale(), others + s.work_in_flight);
+        let (sent, busy) = (self.now, self.overhead.busy);
         let connected = None;
-        let flight = Flight { server, class, work, ahead, scale, sent, busy, connected, forecast, expected };
-        let piece = &mut q.pieces[i];
-        self.desk.flights.insert((piece.id.clone(), piece.tries.len() as u32), flight);
-        piece.tries.push(Try { server, sent: self.now, expected, outcome: None, took: 0.0 });
+        let flight =
+            InFlight { server, class, work, queued, scale, sent, busy, connected, forecast, expected };
+        let part = &mut q.parts[i];
+        self.desk.flights.insert((part.id.clone(), part.attempts.len() as u32), flight);
+        part.attempts.push(Attempt { server, sent: self.now, expected, outcome: None, took: 0.0 });
         let node = self.fleet.servers[server].node.clone();
-        self.out.push(Action::Send { part: piece.id.clone(), node, within });
+        self.actions.push(Action::Send { part: part.id.clone(), node, timeout });
     }
 
     /// Until when an answer still earns something.
-    pub(crate) fn useful_end(&self, q: &Held) -> Ms {
-        let class = &self.set.classes[q.class];
-        let slack = REPLY_TICKS * self.set.tick;
-        let end = if class.late_worth > 0.0 { q.give_up_at } else { q.asked + class.aim };
-        end.min(q.give_up_at) - slack
+    pub(crate) fn useful_end(&self, q: &QueryState) -> Millis {
+        let class = &self.settings.classes[q.class];
+        let slack = REPLY_TICKS * self.settings.tick;
+        let end = if class.late_worth > 0.0 { q.deadline } else { q.first_asked_at + class.aim };
+        end.min(q.deadline) - slack
     }
 
     /// Time that the second step takes of late; nothing for a class of one step, or once it runs.
-    pub(crate) fn second(&self, q: &Held) -> Ms {
-        let ahead = self.set.classes[q.class].second_step && q.first_whole.is_none();
-        if ahead { self.learned[q.class].second } else { 0.0 }
+    pub(crate) fn second_step_time(&self, q: &QueryState) -> Millis {
+        let ahead = self.settings.classes[q.class].second_step && q.first_answer_whole.is_none();
+        if ahead { self.learned[q.class].second_step } else { 0.0 }
     }
 
     /// The time of the aim that falls to the step at hand.
-    fn step_time(&self, q: &Held) -> Ms {
-        let start = if q.first_whole.is_some() { q.stepped - q.asked } else { 0.0 };
-        (self.set.classes[q.class].aim - start - self.second(q)).max(self.set.tick)
+    fn step_time(&self, q: &QueryState) -> Millis {
+        let start = if q.first_answer_whole.is_some() { q.first_answered_at - q.first_asked_at } else { 0.0 };
+        (self.settings.classes[q.class].aim - start - self.second_step_time(q)).max(self.settings.tick)
     }
 
-    // ---- replies
-
     /// Gives the final answer where its moment has come. True if the query has ended.
-    fn reply(&mut self, id: &RequestId, q: &mut Held) -> bool {
-        let class = &self.set.classes[q.class];
-        let slack = REPLY_TICKS * self.set.tick;
+    fn reply(&mut self, id: &RequestId, q: &mut QueryState) -> bool {
+        let class = &self.settings.classes[q.class];
+        let slack = REPLY_TICKS * self.settings.tick;
         // A first answer, where a second step follows, goes early enough for that to be in time.
-        let second_at = self.now + self.second(q) + slack;
-        let step = &q.pieces[q.step_from..];
-        let sum = |keep: &dyn Fn(&Piece) -> bool| -> f64 {
+        let second_at = self.now + self.second_step_time(q) + slack;
+        let step = &q.parts[q.step_start..];
+        let sum = |keep: &dyn Fn(&PartState) -> bool| -> f64 {
             step.iter().filter(|p| keep(p)).map(|p| p.weight).sum()
         };
         let have = sum(&|p| p.served);
-        let spoiled = self.spoiled(q);
+        let spoiled = self.is_suspect(q);
         let possible = sum(&|p| p.served || self.alive(q, p, spoiled));
-        let second = q.first_whole.is_some();
-        let whole = if second { step.iter().all(|p| p.served) } else { have + ROUNDING >= class.need };
+        let second = q.first_answer_whole.is_some();
+        let whole = if second { step.iter().all(|p| p.served) } else { have + TOLERANCE >= class.need };
         if !step.is_empty() && whole {
-            return self.answer(id, q, q.first_whole.unwrap_or(true));
+            return self.answer(id, q, q.first_answer_whole.unwrap_or(true));
         }
-        let floor = have > 0.0 && have + ROUNDING >= class.floor;
-        let aim_over = second_at >= q.asked + class.aim;
-        let over = self.now >= q.give_up_at - slack;
+        let floor = have > 0.0 && have + TOLERANCE >= class.floor;
+        let aim_over = second_at >= q.first_asked_at + class.aim;
+        let over = self.now >= q.deadline - slack;
         // After a first answer that was not whole both ways earn its share, so that only the rest counts.
-        let earns = if q.first_whole == Some(false) { 1.0 } else { class.partial_earns };
-        let partial_worth = earns * have / class.need.max(ROUNDING);
-        let can_be_whole = possible + ROUNDING >= if second { 1.0 } else { class.need };
+        let earns = if q.first_answer_whole == Some(false) { 1.0 } else { class.partial_earns };
+        let partial_worth = earns * have / class.need.max(TOLERANCE);
+        let can_be_whole = possible + TOLERANCE >= if second { 1.0 } else { class.need };
         // Once the aim is reached, waiting is worth less where the rest cannot come or earns less by then;
         // before, each part that may still come adds to its share.
         let enough = aim_over && (!can_be_whole || partial_worth >= class.late_worth);
-        let waits = self.now < q.asked + LEAVE_WAIT * class.aim;
-        let coming = sum(&|p| p.served || ((waits || !p.left) && self.alive(q, p, spoiled)));
-        if floor && (second_at >= q.give_up_at || enough || coming <= have + ROUNDING) {
+        let waits = self.now < q.first_asked_at + OMIT_WAIT_SHARE * class.aim;
+        let coming = sum(&|p| p.served || ((waits || !p.omitted) && self.alive(q, p, spoiled)));
+        if floor && (second_at >= q.deadline || enough || coming <= have + TOLERANCE) {
             return self.answer(id, q, false);
         }
         // Between a first answer and the parts of the second step there is nothing to give up yet.
-        let hopeless = !(second && step.is_empty()) && possible + ROUNDING < class.floor.min(class.need);
+        let hopeless = !(second && step.is_empty()) && possible + TOLERANCE < class.floor.min(class.need);
         let poison = spoiled && have == 0.0;
         if over || hopeless || poison || self.now >= self.useful_end(q) {
             return self.end_unserved(id, q);
@@ -704,22 +698,22 @@
     }
 
     /// Whether a part that is not in may still come.
-    fn alive(&self, q: &Held, p: &Piece, spoiled: bool) -> bool {
-        let left = p.tried() < q.max_attempts && (p.tries.is_empty() || !spoiled);
-        p.tries.iter().any(|t| t.outcome.is_none()) || (left && !self.fleet.rows.of(p.shard).is_empty())
+    fn alive(&self, q: &QueryState, p: &PartState, spoiled: bool) -> bool {
+        let left = p.attempts_used() < q.max_attempts && (p.attempts.is_empty() || !spoiled);
+        p.attempts.iter().any(|t| t.outcome.is_none()) || (left && !self.fleet.rows.of(p.shard).is_empty())
     }
 
-    fn answer(&mut self, id: &RequestId, q: &mut Held, whole: bool) -> bool {
-        self.out.push(Action::Answer { query: id.clone(), whole });
-        if whole && self.now <= q.asked + self.set.classes[q.class].aim {
+    fn answer(&mut self, id: &RequestId, q: &mut QueryState, whole: bool) -> bool {
+        self.actions.push(Action::Answer { query: id.clone(), whole });
+        if whole && self.now <= q.first_asked_at + self.settings.classes[q.class].aim {
             self.learned[q.class].probes.note_served(id, self.now);
         }
-        if self.set.classes[q.class].second_step && q.first_whole.is_none() {
+        if self.settings.classes[q.class].second_step && q.first_answer_whole.is_none() {
             self.cancel_rest(q);
-            q.first_whole = Some(whole);
-            q.stepped = self.now;
-            q.step_from = q.pieces.len();
-            q.recount(&self.set, self.now);
+            q.first_answer_whole = Some(whole);
+            q.first_answered_at = self.now;
+            q.step_start = q.parts.len();
+            q.recount(&self.settings, self.now);
             return false;
         }
         self.forget(id, q);
@@ -728,58 +722,57 @@
 
     /// Ends a query unserved, at once and with advice: a refusal where a repeat is harmless, else a failure.
     /// A keyed part that may have run is harmless to repeat until its window ends; clients come rather late.
-    fn end_unserved(&mut self, id: &RequestId, q: &mut Held) -> bool {
-        self.learned[q.class].patience.note_unserved(q.asked);
-        let class = &self.set.classes[q.class];
-        let left = q.asked + class.aim - self.now;
-        let useful = if left > 0.0 && !self.spoiled(q) { RETURN_AIM * left } else { f64::INFINITY };
-        let retry_after = self.set.max_retry_after.map(|most| most.min(useful));
+    fn end_unserved(&mut self, id: &RequestId, q: &mut QueryState) -> bool {
+        self.learned[q.class].client_timeout.note_unserved(q.first_asked_at);
+        let class = &self.settings.classes[q.class];
+        let left = q.first_asked_at + class.aim - self.now;
+        let useful = if left > 0.0 && !self.is_suspect(q) { RETRY_SHARE * left } else { f64::INFINITY };
+        let retry_after = self.settings.max_retry_after.map(|most| most.min(useful));
         let back = self.now + 2.0 * retry_after.unwrap_or(f64::INFINITY);
-        let ran = |t: &&Try| !t.outcome.is_some_and(never_ran);
-        let harmless = |t: &Try| match class.semantics {
+        let ran = |t: &&Attempt| !t.outcome.is_some_and(never_ran);
+        let harmless = |t: &Attempt| match class.semantics {
             Semantics::Safe => true,
             Semantics::Keyed { window } => back < t.sent + window,
             Semantics::Unsafe => false,
         };
         let query = id.clone();
-        let all = q.pieces.iter().flat_map(|p| &p.tries).filter(ran).all(harmless);
-        self.out.push(if all { Action::Refuse { query, retry_after } } else { Action::Fail { query } });
+        let all = q.parts.iter().flat_map(|p| &p.attempts).filter(ran).all(harmless);
+        self.actions.push(if all { Action::Refuse { query, retry_after } } else { Action::Fail { query } });
         self.forget(id, q);
         true
     }
 
-    fn forget(&mut self, id: &RequestId, q: &Held) {
+    fn forget(&mut self, id: &RequestId, q: &QueryState) {
         self.cancel_rest(q);
         self.desk.calendar.forget(id, q);
         let learned = &mut self.learned[q.class];
-        let first_end = if q.first_whole.is_some() { q.stepped } else { self.now };
+        let first_end = if q.first_answer_whole.is_some() { q.first_answered_at } else { self.now };
         if q.forecast > 0.0 && first_end > q.arrived {
             let lag = first_end - q.arrived - q.forecast;
-            let most = LAG_AIM * self.set.classes[q.class].aim;
-            learned.lag += LAG_NEWS * (lag.clamp(0.0, most) - learned.lag);
+            let most = LAG_AIM * self.settings.classes[q.class].aim;
+            learned.lag += LAG_SMOOTHING * (lag.clamp(0.0, most) - learned.lag);
         }
-        if q.first_whole.is_some() {
-            let most = self.set.classes[q.class].aim * SECOND_AIM;
-            learned.second += NEWS * ((self.now - q.stepped).min(most) - learned.second);
+        if q.first_answer_whole.is_some() {
+            let most = self.settings.classes[q.class].aim * SECOND_STEP_AIM;
+            learned.second_step +=
+                SMOOTHING * ((self.now - q.first_answered_at).min(most) - learned.second_step);
         }
         self.desk.groups.remove(&q.group);
-        q.pieces.iter().for_each(|p| drop(self.desk.part_of.remove(&p.id)));
+        q.parts.iter().for_each(|p| drop(self.desk.part_of.remove(&p.id)));
     }
 
-    // ---- refusals on arrival
-
     /// Whether a query can be served in time. Under load those that earn least for their work go first. The
     /// slowest part counts in part: copies may get round one whose holders all have an attempt overdue.
-    fn admit(&mut self, id: &RequestId, q: &mut Held) -> bool {
+    fn admit(&mut self, id: &RequestId, q: &mut QueryState) -> bool {
         let over_share = self.over_share(q.tenant);
-        let class = &self.set.classes[q.class];
-        let (mut mean, mut slowest): (Ms, Ms) = (0.0, 0.0);
+        let class = &self.settings.classes[q.class];
+        let (mut mean, mut slowest): (Millis, Millis) = (0.0, 0.0);
         let mut total = 0.0;
-        let may_leave = q.may_leave(&self.set);
-        for i in 0..q.pieces.len() {
+        let may_leave = q.may_leave(&self.settings);
+        for i in 0..q.parts.len() {
             let work = self.work(q, i);
             total += work;
-            let holders = self.fleet.rows.of(q.pieces[i].shard);
+            let holders = self.fleet.rows.of(q.parts[i].shard);
             let least = |of: &mut dyn Iterator<Item = usize>| {
                 // Whether there is time is told by paces that hold no time twice.
                 let rescaled = |s: usize| self.fleet.servers[s].pace.rescaled();
@@ -790,34 +783,34 @@
             let best = sound.or_else(|| least(&mut holders.iter().copied())).unwrap_or(f64::INFINITY);
             if may_leave {
                 q.lift(i);
-                q.pieces[i].left = self.leaves(q, i);
-                q.settle(&self.set, self.now, i);
+                q.parts[i].omitted = self.should_omit(q, i);
+                q.settle(&self.settings, self.now, i);
             }
-            if best.is_finite() && !q.pieces[i].left {
-                mean += best / q.pieces.len() as f64;
+            if best.is_finite() && !q.parts[i].omitted {
+                mean += best / q.parts.len() as f64;
                 slowest = slowest.max(best);
             }
         }
-        let mut density = class.worth / if self.set.worth_by_work { 1.0 } else { total.max(1.0) };
-        let best = estimates::best_density(&mut self.learned, q.class, density, self.set.worth_by_work);
+        let mut density = class.worth / if self.settings.worth_by_work { 1.0 } else { total.max(1.0) };
+        let best = estimates::best_density(&mut self.learned, q.class, density, self.settings.worth_by_work);
         if over_share {
-            density *= self.set.over_share_worth;
+            density *= self.settings.over_share_worth;
         }
         let limit = ADMIT.0 + (ADMIT.1 - ADMIT.0) * density / best.max(f64::MIN_POSITIVE);
-        let own = self.own_time(q.pieces.len());
-        let forecast = mean + SLOWEST * (slowest - mean) + own;
-        (q.forecast, q.own) = (forecast, own);
+        let overhead = self.query_overhead(q.parts.len());
+        let forecast = mean + SLOWEST * (slowest - mean) + overhead;
+        (q.forecast, q.overhead) = (forecast, overhead);
         // One that may still earn by a partial answer is worth more of a risk; a late one as to the lag only.
         // Nothing, where the client leaves before the aim: its repeats would fill the fleet with lost work.
-        let stays = f64::from(q.give_up_at > q.asked + class.aim);
+        let stays = f64::from(q.deadline > q.first_asked_at + class.aim);
         let may = if class.floor < class.need { stays } else { 0.0 };
-        let partial = may * class.partial_earns * class.floor / class.need.max(ROUNDING);
+        let partial = may * class.partial_earns * class.floor / class.need.max(TOLERANCE);
         let fallback = partial.max(stays * class.late_worth);
         let limit = limit + (1.0 - limit) * partial;
-        let left = (q.asked + class.aim).min(q.give_up_at) - self.now - self.second(q);
+        let left = (q.first_asked_at + class.aim).min(q.deadline) - self.now - self.second_step_time(q);
         // Past its aim it is refused: it would earn the late worth at most.
         let (class, lag) = (ClassIndex(q.class), self.learned[q.class].lag * (1.0 - fallback));
-        let assessment = Assessment { class, mean, slowest, own, forecast, lag, allowed: limit * left };
+        let assessment = Assessment { class, mean, slowest, overhead, forecast, lag, allowed: limit * left };
         let probes = &mut self.learned[q.class].probes;
         if assessment.admits() {
             probes.note_admitted();
@@ -834,55 +827,53 @@
     }
 
     fn over_share(&mut self, tenant: usize) -> bool {
-        let Some(times) = self.tenant_taken.get_mut(tenant) else { return false };
-        let span = self.set.cold.warm_after.max(self.set.longest_wait());
-        trim(times, self.now - span);
-        let even = self.set.tenants[tenant].quota_per_s / self.set.aggregators.max(1) as f64;
+        let Some(times) = self.tenant_arrivals.get_mut(tenant) else { return false };
+        let span = self.settings.cold.warm_after.max(self.settings.max_wait());
+        remove_before(times, self.now - span);
+        let even = self.settings.tenants[tenant].quota_per_s / self.settings.aggregators.max(1) as f64;
         times.len() as f64 > QUOTA_SLACK * even * span / SECOND
     }
 
-    // ---- health, from own outcomes
-
-    fn ended(&mut self, part: RequestId, attempt: u32, outcome: Outcome, elapsed: Ms, load: Option<f64>) {
+    fn ended(&mut self, part: RequestId, attempt: u32, outcome: Outcome, elapsed: Millis, load: Option<f64>) {
         if let Some(flight) = self.desk.flights.remove(&(part.clone(), attempt)) {
-            self.landed(&flight, outcome, elapsed);
+            self.record_outcome(&flight, outcome, elapsed);
             self.hear_load(&flight, load);
         }
-        self.close_try(&part, attempt, outcome);
+        self.close_attempt(&part, attempt, outcome);
     }
 
-    pub(crate) fn landed(&mut self, f: &Flight, outcome: Outcome, elapsed: Ms) {
-        let silent = self.fleet.servers[f.server].went_silent;
-        self.judge(f, outcome, elapsed);
-        if silent != self.fleet.servers[f.server].went_silent {
+    pub(crate) fn record_outcome(&mut self, f: &InFlight, outcome: Outcome, elapsed: Millis) {
+        let silent = self.fleet.servers[f.server].is_silent;
+        self.update_health(f, outcome, elapsed);
+        if silent != self.fleet.servers[f.server].is_silent {
             self.silence_turned(f.server);
         }
     }
 
-    fn judge(&mut self, f: &Flight, outcome: Outcome, elapsed: Ms) {
+    fn update_health(&mut self, f: &InFlight, outcome: Outcome, elapsed: Millis) {
         let elapsed = if elapsed.is_finite() { elapsed.max(0.0) } else { self.now - f.sent };
         let aim = self.shortest_aim;
-        let jitter = 0.75 + 0.5 * self.dice.random();
+        let jitter = 0.75 + 0.5 * self.random.unit();
         let (least, likely) = (self.least_time(f, elapsed), self.likely_time(f, elapsed));
         let s = &mut self.fleet.servers[f.server];
-        s.landed(f);
+        s.remove_in_flight(f);
         // Long overdue and nothing sent later was answered: a failure, even if a second copy was quicker and
         // this one was called off. The forecast grows with load, so load alone does not count.
-        let overdue = !self.desk.stood && elapsed > (OVERDUE * f.expected).max(OVERDUE_AIM * aim);
+        let overdue = !self.desk.stood && elapsed > (OVERDUE_FACTOR * f.expected).max(OVERDUE_AIM * aim);
         let silent = overdue && f.sent > s.last_served_sent;
         let quiet = outcome == Outcome::Cancelled && silent
             || matches!(outcome, Outcome::TimedOut | Outcome::NoConnection | Outcome::ConnectionLost);
         if let Some(zone) = s.zone.filter(|_| !self.desk.stood && (quiet || outcome == Outcome::Served)) {
             let share = self.fleet.silence.entry(zone).or_default();
-            *share += ZONE_NEWS * (f64::from(u8::from(quiet)) - *share);
+            *share += ZONE_SMOOTHING * (f64::from(u8::from(quiet)) - *share);
         }
         // A server may fail one class and serve the others, whose answers then hide it: its own record.
-        let own = s.of_class.entry(f.class).or_default();
+        let own = s.by_class.entry(f.class).or_default();
         let lost = overdue && f.sent > own.last_served_sent && outcome != Outcome::Served;
         if lost || outcome == Outcome::Error {
-            own.errors += SLOW_NEWS * (1.0 - own.errors);
+            own.errors += SLOW_SMOOTHING * (1.0 - own.errors);
         } else if outcome == Outcome::Served {
-            own.errors *= 1.0 - SLOW_NEWS;
+            own.errors *= 1.0 - SLOW_SMOOTHING;
             own.last_served_sent = own.last_served_sent.max(f.sent);
         }
         let width = &mut self.learned[f.class].width;
@@ -895,29 +886,29 @@
                 width.ended += 1;
                 self.desk.served += if s.warm() { f.work } else { 0.0 };
                 let likely = if self.desk.stood { likely.min(f.expected) } else { likely };
-                let pace = likely / f.ahead.max(1.0);
-                let news = if elapsed > OVERDUE * f.expected { SLOW_NEWS } else { NEWS };
+                let pace = likely / f.queued.max(1.0);
+                let news = if elapsed > OVERDUE_FACTOR * f.expected { SLOW_SMOOTHING } else { SMOOTHING };
                 let work = &self.learned[f.class].work;
                 match work.known() {
                     true => s.pace.observe(pace, pace * f.scale / work.scale(), news),
                     false => s.pace.observe_provisional(f.class, pace, work.scale() / f.scale, news),
                 }
-                s.heard = self.now;
+                s.last_response_at = self.now;
                 let quiet = f.sent - s.last_served_sent;
                 s.last_served_sent = s.last_served_sent.max(f.sent);
-                s.errors *= 1.0 - NEWS;
-                s.failures = 0;
+                s.errors *= 1.0 - SMOOTHING;
+                s.consecutive_failures = 0;
                 s.ejection = 0.0;
                 let started_by = f.connected.unwrap_or(self.now);
-                let restarted = started_by > std::mem::replace(&mut s.answered_at, self.now);
-                if s.went_silent && quiet > COLD_SILENCE * aim && restarted {
+                let restarted = started_by > std::mem::replace(&mut s.last_answer_at, self.now);
+                if s.is_silent && quiet > COLD_SILENCE * aim && restarted {
                     // Long silence, then an answer: a restart that the list may not show yet.
                     // What it was sent before, the process that fell silent may have got.
                     if s.cold_since.replace(started_by).is_none() {
                         s.cold_sends.clear();
                     }
                 }
-                s.went_silent = false;
+                s.is_silent = false;
                 self.learned[f.class].work.answered(likely);
                 return;
             }
@@ -925,9 +916,9 @@
                 width.ended += 1;
                 width.bad += 1;
                 // Each time longer while nothing is answered: a server that hangs is full for as long.
-                s.ejection = (s.ejection * 2.0).clamp(FULL_HOLD * aim, EJECT_LONGEST * aim);
+                s.ejection = (s.ejection * 2.0).clamp(FULL_HOLD * aim, MAX_EJECTION * aim);
                 s.full_until = self.now + s.ejection * jitter;
-                s.shun_until = s.full_until;
+                s.ejected_until = s.full_until;
                 return;
             }
             Outcome::TimedOut => {
@@ -938,56 +929,54 @@
                     return;
                 }
                 // It would have taken longer still: else a server full of work that will time out looks fast.
-                let pace = (least / f.ahead.max(1.0)).min(PACE_LOST * self.fleet_pace);
-                s.pace.observe_at_least(pace, NEWS);
-                s.heard = self.now;
+                let pace = (least / f.queued.max(1.0)).min(MAX_TIMEOUT_PACE * self.fleet_pace);
+                s.pace.observe_at_least(pace, SMOOTHING);
+                s.last_response_at = self.now;
             }
             // Quick errors tell of the server, not of the load: the width loop leaves them to this.
             Outcome::Error | Outcome::Cancelled | Outcome::NoConnection | Outcome::ConnectionLost => {}
         }
-        s.errors += NEWS * (1.0 - s.errors);
-        s.failures += 1;
+        s.errors += SMOOTHING * (1.0 - s.errors);
+        s.consecutive_failures += 1;
         // Nothing runs there or nothing gets there, whatever the load: passed over at once. One that has
         // answered what was sent later, or just before, has lost a connection and is up.
         let alive = s.last_served_sent + ALIVE_AIM * aim > f.sent && outcome == Outcome::ConnectionLost;
         let gone = matches!(outcome, Outcome::NoConnection | Outcome::ConnectionLost if !alive);
-        s.went_silent |= gone || outcome == Outcome::TimedOut;
-        let failing = s.failures >= EJECT_RUN && s.errors > EJECT_SHARE;
-        if (gone || failing) && self.now >= s.shun_until {
-            s.ejection = (s.ejection * 2.0).clamp(EJECT_FIRST * aim, EJECT_LONGEST * aim);
-            s.shun_until = self.now + s.ejection * jitter;
+        s.is_silent |= gone || outcome == Outcome::TimedOut;
+        let failing = s.consecutive_failures >= EJECT_FAILURES && s.errors > EJECT_SHARE;
+        if (gone || failing) && self.now >= s.ejected_until {
+            s.ejection = (s.ejection * 2.0).clamp(FIRST_EJECTION * aim, MAX_EJECTION * aim);
+            s.ejected_until = self.now + s.ejection * jitter;
         }
     }
 
-    // ---- cold servers
-
     /// Whether a server that may be cold has room for more work within its window (rule 4), under a multiple
     /// of what it can do for all aggregators together. What all have served by a warm server is no more than
     /// that can do: so each keeps to that multiple of the cold share of what it has served by one. This
     /// needs no guess of cores or of others' traffic. Before it is known: to an even part, on one core.
-    fn cold_room(&self, server: usize, work: Ms) -> bool {
+    fn cold_room(&self, server: usize, work: Millis) -> bool {
         let s = &self.fleet.servers[server];
         let Some(since) = s.cold_since else { return true };
-        let rule = &self.set.cold;
+        let rule = &self.settings.cold;
         let age = (self.now - since).max(0.0) / rule.warm_after.max(1.0);
         if age >= 1.0 {
             return true;
         }
-        let capacity = rule.from + (1.0 - rule.from) * age;
-        let most = COLD_SAFE * rule.fall_multiple * capacity * rule.fall_after;
-        let (part, served) = (1.0 / self.set.aggregators.max(1) as f64, self.desk.served_rate);
+        let capacity = rule.initial_capacity + (1.0 - rule.initial_capacity) * age;
+        let most = COLD_SAFE * rule.overload_factor * capacity * rule.overload_time;
+        let (part, served) = (1.0 / self.settings.aggregators.max(1) as f64, self.desk.served_rate);
         let share = served.max((part + served) / 2.0);
         let even = most * share;
-        let from = self.now - rule.fall_after;
-        let sent: Ms = s.cold_sends.iter().filter(|(t, _)| *t >= from).map(|(_, w)| w).sum();
+        let from = self.now - rule.overload_time;
+        let sent: Millis = s.cold_sends.iter().filter(|(t, _)| *t >= from).map(|(_, w)| w).sum();
         // An even part of less than one part's work is a turn, by chance that is drawn anew each second. A
         // turn is lost where no part is there to take it, so that the chance grows as those are rare: over
         // all aggregators, demand times chance then sums up to the turns meant, however many they are.
-        let held = (!self.warm_beside(s)).then(|| self.set.longest_wait() / SECOND);
-        let demand = self.desk.demand.of_one(s.cell, self.set.reach, held);
+        let held = (!self.warm_beside(s)).then(|| self.settings.max_wait() / SECOND);
+        let demand = self.desk.demand.of_one(s.cell, self.settings.reach, held);
         let turns = turns_within(most / (COLD_SAFE * work.max(1.0)), COLD_SCATTER) / COLD_SURGE;
-        let turn = turns * share * SECOND / (rule.fall_after * demand);
-        sent + work <= even || (sent == 0.0 && s.lot < turn)
+        let turn = turns * share * SECOND / (rule.overload_time * demand);
+        sent + work <= even || (sent == 0.0 && s.cold_draw < turn)
     }
 
     /// Whether a warm server that may be sent to holds what this one does.
@@ -996,51 +985,49 @@
         self.fleet.rows.of(s.cell).iter().any(warm)
     }
 
-    // ---- once a second: the width loop and the fleet's pace
-
     fn each_second(&mut self) {
         if self.now < self.next_second {
             return;
         }
         self.next_second = self.now + SECOND;
         for i in 0..self.learned.len() {
-            self.steer_width(i);
+            self.adjust_width(i);
         }
-        let heard = self.fleet.servers.iter().filter(|s| s.heard > self.now - 4.0 * SECOND);
+        let heard = self.fleet.servers.iter().filter(|s| s.last_response_at > self.now - 4.0 * SECOND);
         let median = estimates::median(heard.map(|s| &s.pace));
         // Nothing heard, as when all is refused after a bad spell: it fades, or it would be believed on.
-        let unheard = if median.is_none() { FORGET } else { 0.0 };
+        let unheard = if median.is_none() { FADE } else { 0.0 };
         self.learned.iter_mut().for_each(|l| l.work.fade(unheard));
-        let faded = |pace: f64| pace + FORGET * (FIRST_PACE - pace);
+        let faded = |pace: f64| pace + FADE * (INITIAL_PACE - pace);
         let faded = (faded(self.fleet_pace), faded(self.fleet_rescaled));
         (self.fleet_pace, self.fleet_rescaled) = median.unwrap_or(faded);
         let cold = |s: &&Server| s.cold_since.is_some() && self.warm_beside(s);
-        let wished: Vec<bool> = self.fleet.servers.iter().filter(cold).map(|s| s.wished).collect();
-        self.desk.demand.second(NEWS, &wished);
+        let wished: Vec<bool> = self.fleet.servers.iter().filter(cold).map(|s| s.wanted).collect();
+        self.desk.demand.second(SMOOTHING, &wished);
         for s in &mut self.fleet.servers {
-            if s.heard < self.now - SECOND {
-                s.pace.approach(self.fleet_pace, self.fleet_rescaled, FORGET);
+            if s.last_response_at < self.now - SECOND {
+                s.pace.approach(self.fleet_pace, self.fleet_rescaled, FADE);
             }
-            s.of_class.values_mut().for_each(|c| c.errors *= 1.0 - FORGET);
-            if s.flying.is_empty() {
-                s.errors *= 1.0 - FORGET;
+            s.by_class.values_mut().for_each(|c| c.errors *= 1.0 - FADE);
+            if s.in_flight.is_empty() {
+                s.errors *= 1.0 - FADE;
             }
-            (s.lot, s.wished) = (self.dice.random(), false);
-            let window = self.now - self.set.cold.fall_after;
+            (s.cold_draw, s.wanted) = (self.random.unit(), false);
+            let window = self.now - self.settings.cold.overload_time;
             s.cold_sends.retain(|(t, _)| *t >= window);
-            s.cold_since = s.cold_since.filter(|c| c + self.set.cold.warm_after > self.now);
+            s.cold_since = s.cold_since.filter(|c| c + self.settings.cold.warm_after > self.now);
         }
         let warm = self.fleet.servers.iter().filter(|s| s.warm()).count();
         let served = std::mem::take(&mut self.desk.served) / SECOND / warm.max(1) as f64;
         if warm > 0 {
-            self.desk.served_rate += NEWS * (served - self.desk.served_rate);
+            self.desk.served_rate += SMOOTHING * (served - self.desk.served_rate);
         }
         self.forget_gone();
         self.budget_left(); // forgets what is past its window
     }
 
     /// One PD step on the share of calls that ended full or timed out; an empty second changes nothing.
-    fn steer_width(&mut self, class: usize) {
+    fn adjust_width(&mut self, class: usize) {
         let w = &mut self.learned[class].width;
         if w.ended == 0 {
             return;
--- a/crates/brookbend/src/desk.rs
+++ b/crates/brookbend/src/desk.rs
@@ -6,24 +6,24 @@
 use crate::demand::Demand;
 use crate::due::Calendar;
 use crate::refusals::Refusals;
-use crate::state::{Flight, Held, Piece};
+use crate::state::{InFlight, PartState, QueryState};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What an aggregator has in hand.
 #[derive(Default)]
 pub(crate) struct Desk {
-    pub(crate) queries: BTreeMap<RequestId, Held>,
+    pub(crate) queries: BTreeMap<RequestId, QueryState>,
     pub(crate) groups: BTreeMap<u64, RequestId>,
     /// Of each part: its query, and its place there.
     pub(crate) part_of: BTreeMap<RequestId, (RequestId, usize)>,
-    pub(crate) flights: BTreeMap<(RequestId, u32), Flight>,
+    pub(crate) flights: BTreeMap<(RequestId, u32), InFlight>,
     /// When queries and parts came, and when further attempts went.
-    pub(crate) taken: VecDeque<Ms>,
-    pub(crate) extras: VecDeque<Ms>,
+    pub(crate) taken: VecDeque<Millis>,
+    pub(crate) extras: VecDeque<Millis>,
     /// Queries that were refused on arrival.
     pub(crate) refusals: Refusals,
     /// Work served since the last second began; and, smoothed, by each warm server in a millisecond.
-    pub(crate) served: Ms,
+    pub(crate) served: Millis,
     pub(crate) served_rate: f64,
     /// How often parts want a server.
     pub(crate) demand: Demand,
@@ -35,32 +35,32 @@
 impl Desk {
     /// The servers that something in hand refers to.
     pub(crate) fn servers(&self) -> BTreeSet<usize> {
-        let pieces = || self.queries.values().flat_map(|q| &q.pieces);
-        let tried = pieces().flat_map(|p| p.tries.iter().map(|t| t.server));
-        let flying = self.flights.values().map(|f| f.server);
-        tried.chain(pieces().filter_map(|p| p.row_holder)).chain(flying).collect()
+        let parts = || self.queries.values().flat_map(|q| &q.parts);
+        let tried = parts().flat_map(|p| p.attempts.iter().map(|t| t.server));
+        let in_flight = self.flights.values().map(|f| f.server);
+        tried.chain(parts().filter_map(|p| p.row_holder)).chain(in_flight).collect()
     }
 }
 
 impl Aggregator {
     pub(crate) fn take_query(&mut self, q: Query) {
-        if self.set.classes.is_empty() {
-            return self.out.push(Action::Fail { query: q.id });
+        if self.settings.classes.is_empty() {
+            return self.actions.push(Action::Fail { query: q.id });
         }
         self.desk.taken.push_back(self.now);
-        if let Some(times) = self.tenant_taken.get_mut(q.tenant.0) {
+        if let Some(times) = self.tenant_arrivals.get_mut(q.tenant.0) {
             times.push_back(self.now);
         }
         self.desk.groups.insert(q.group, q.id.clone());
-        let class = q.class.0.min(self.set.classes.len().saturating_sub(1));
-        let held = Held {
-            asked: self.first_asked(class, &q),
+        let class = q.class.0.min(self.settings.classes.len().saturating_sub(1));
+        let held = QueryState {
+            first_asked_at: self.first_asked(class, &q),
             class,
             tenant: q.tenant.0,
             group: q.group,
             arrived: self.now,
-            give_up_at: q.give_up_at,
-            max_attempts: q.max_attempts.unwrap_or(u32::MAX).min(self.set.max_attempts),
+            deadline: q.deadline,
+            max_attempts: q.max_attempts.unwrap_or(u32::MAX).min(self.settings.max_attempts),
             ..Default::default()
         };
         self.desk.calendar.changed(&q.id);
@@ -71,23 +71,23 @@
         self.desk.taken.push_back(self.now);
         let Some(id) = self.desk.groups.get(&p.group) else { return };
         let Some(query) = self.desk.queries.get_mut(id) else { return };
-        self.desk.part_of.insert(p.id.clone(), (id.clone(), query.pieces.len()));
+        self.desk.part_of.insert(p.id.clone(), (id.clone(), query.parts.len()));
         query.planned = false;
-        query.pieces.push(Piece {
+        query.parts.push(PartState {
             id: p.id,
             shard: p.shard,
             weight: if p.weight.is_finite() { p.weight.max(0.0) } else { 0.0 },
             hint: p.work_hint.filter(|w| w.is_finite() && *w > 0.0),
             row_holder: None,
-            tries: Vec::new(),
+            attempts: Vec::new(),
             served: false,
-            reserve: false,
-            left: false,
+            in_reserve: false,
+            omitted: false,
             unreachable: false,
-            housed: !self.fleet.rows.of(p.shard).is_empty(),
+            has_holders: !self.fleet.rows.of(p.shard).is_empty(),
             stand: Stand::Done,
         });
-        query.settle(&self.set, self.now, query.pieces.len() - 1);
+        query.settle(&self.settings, self.now, query.parts.len() - 1);
         self.desk.calendar.changed(id);
     }
 
@@ -95,46 +95,46 @@
     pub(crate) fn put_out_of_reach(&mut self, part: &RequestId) {
         let Some((id, i)) = self.desk.part_of.get(part) else { return };
         let (Some(q), i) = (self.desk.queries.get_mut(id), *i) else { return };
-        if i < q.pieces.len() {
+        if i < q.parts.len() {
             q.lift(i);
-            q.pieces[i].unreachable = true;
-            q.settle(&self.set, self.now, i);
+            q.parts[i].unreachable = true;
+            q.settle(&self.settings, self.now, i);
             self.desk.calendar.changed(id);
         }
     }
 
-    /// Writes the end of an attempt into its piece.
-    pub(crate) fn close_try(&mut self, part: &RequestId, attempt: u32, outcome: Outcome) {
+    /// Writes the end of an attempt into its part.
+    pub(crate) fn close_attempt(&mut self, part: &RequestId, attempt: u32, outcome: Outcome) {
         let Some((id, i)) = self.desk.part_of.get(part) else { return };
         let (Some(q), i) = (self.desk.queries.get_mut(id), *i) else { return };
-        if i >= q.pieces.len() || attempt as usize >= q.pieces[i].tries.len() {
+        if i >= q.parts.len() || attempt as usize >= q.parts[i].attempts.len() {
             return;
         }
         q.lift(i);
-        let piece = &mut q.pieces[i];
-        let t = &mut piece.tries[attempt as usize];
+        let part = &mut q.parts[i];
+        let t = &mut part.attempts[attempt as usize];
         let before = t.outcome.replace(outcome);
         t.took = self.now - t.sent;
-        piece.served |= outcome == Outcome::Served;
+        part.served |= outcome == Outcome::Served;
         let server = t.server;
-        q.settle(&self.set, self.now, i);
+        q.settle(&self.settings, self.now, i);
         self.looks.set(self.looks.get() + 1);
         if before.is_some() {
             // Told twice: sums that only grow may have shrunk.
-            q.recount(&self.set, self.now);
+            q.recount(&self.settings, self.now);
         }
         let calendar = &mut self.desk.calendar;
-        let silent = usize::from(self.fleet.servers[server].went_silent);
+        let silent = usize::from(self.fleet.servers[server].is_silent);
         let is_lost = |outcome: Option<Outcome>| outcome == Some(Outcome::ConnectionLost);
         match (is_lost(before), is_lost(Some(outcome))) {
             (false, true) => {
                 calendar.lost_at.entry(server).or_default().push(id.clone());
-                (q.lost, q.broken) = (q.lost + 1, q.broken + silent);
+                (q.lost_connections, q.lost_to_silent) = (q.lost_connections + 1, q.lost_to_silent + silent);
             }
             (true, false) => {
                 let of = calendar.lost_at.entry(server).or_default();
                 of.iter().position(|other| other == id).map(|at| of.swap_remove(at));
-                (q.lost, q.broken) = (q.lost - 1, q.broken - silent);
+                (q.lost_connections, q.lost_to_silent) = (q.lost_connections - 1, q.lost_to_silent - silent);
             }
             _ => {}
         }
@@ -142,19 +142,19 @@
     }
 
     /// Calls off what is out of the step at hand, where that may be.
-    pub(crate) fn cancel_rest(&mut self, q: &Held) {
-        if !self.set.cancel {
+    pub(crate) fn cancel_rest(&mut self, q: &QueryState) {
+        if !self.settings.cancel {
             return;
         }
-        for p in &q.pieces[q.step_from..] {
-            for (n, _) in p.tries.iter().enumerate().filter(|(_, t)| t.outcome.is_none()) {
-                self.out.push(Action::Cancel { part: p.id.clone(), attempt: n as u32 });
+        for p in &q.parts[q.step_start..] {
+            for (n, _) in p.attempts.iter().enumerate().filter(|(_, t)| t.outcome.is_none()) {
+                self.actions.push(Action::Cancel { part: p.id.clone(), attempt: n as u32 });
             }
         }
     }
 
     /// Servers get new names all day: those that are gone must not be kept, nor looked through, for ever.
     pub(crate) fn forget_gone(&mut self) {
-        self.fleet.forget_gone(self.now - self.set.cold.warm_after, || self.desk.servers());
+        self.fleet.forget_gone(self.now - self.settings.cold.warm_after, || self.desk.servers());
     }
 }
--- a/crates/brookbend/src/due.rs
+++ b/crates/brookbend/src/due.rs
@@ -1,19 +1,19 @@
 //! What a turn has to look at: queries by change or by the next moment at which something of theirs may be done, and their
-//! pieces by where they stand.
+//! parts by where they stand.
 //!
 //! Nothing here decides anything. It leaves out only what the decisions would pass over, and keeps the sums that they
-//! would else add up over all pieces. A moment told too early costs a look; one told too late would change a decision.
+//! would else add up over all parts. A moment told too early costs a look; one told too late would change a decision.
 
 use crate::agenda::{At, Stand, is_without};
 use crate::api::*;
-use crate::choice::{Aggregator, LEAVE_WAIT, REPLY_TICKS, ROUNDING};
-use crate::state::{Held, Try};
+use crate::choice::{Aggregator, OMIT_WAIT_SHARE, REPLY_TICKS, TOLERANCE};
+use crate::state::{Attempt, QueryState};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem::{replace, take};
 
 /// A moment as computed may be off by so much: it is looked at sooner.
-const FUZZ: Ms = 0.01;
+const FUZZ: Millis = 0.01;
 
 /// The queries by when they are to be looked at.
 #[derive(Default)]
@@ -21,7 +21,7 @@
     by_time: BTreeSet<(At, RequestId)>,
     /// Those that are looked at in the next turn.
     next: BTreeSet<RequestId>,
-    /// By server: the queries with a piece whose connection it lost, one for each such attempt.
+    /// By server: the queries with a part whose connection it lost, one for each such attempt.
     pub(crate) lost_at: BTreeMap<usize, Vec<RequestId>>,
     /// All is counted anew in the next turn.
     recount: bool,
@@ -39,7 +39,7 @@
     }
 
     /// Takes out those that are due, in their order.
-    fn take(&mut self, now: Ms) -> BTreeSet<RequestId> {
+    fn take(&mut self, now: Millis) -> BTreeSet<RequestId> {
         let mut due = take(&mut self.next);
         while self.by_time.first().is_some_and(|(at, _)| at.0 <= now) {
             due.extend(self.by_time.pop_first().map(|(_, id)| id));
@@ -48,7 +48,7 @@
     }
 
     /// A query is to be looked at by then.
-    fn put(&mut self, id: &RequestId, q: &mut Held, at: Ms, now: Ms) {
+    fn put(&mut self, id: &RequestId, q: &mut QueryState, at: Millis, now: Millis) {
         let was = replace(&mut q.due, at);
         if was != at || at <= now {
             self.by_time.remove(&(At(was), id.clone()));
@@ -61,12 +61,13 @@
     }
 
     /// A query has ended.
-    pub(crate) fn forget(&mut self, id: &RequestId, q: &Held) {
+    pub(crate) fn forget(&mut self, id: &RequestId, q: &QueryState) {
         self.by_time.remove(&(At(q.due), id.clone()));
-        if q.lost == 0 {
+        if q.lost_connections == 0 {
             return;
         }
-        for t in q.pieces.iter().flat_map(|p| &p.tries).filter(|t| t.outcome == Some(Outcome::ConnectionLost))
+        for t in
+            q.parts.iter().flat_map(|p| &p.attempts).filter(|t| t.outcome == Some(Outcome::ConnectionLost))
         {
             if let Some(of) = self.lost_at.get_mut(&t.server) {
                 of.retain(|other| other != id);
@@ -85,7 +86,7 @@
         self.all = true;
     }
 
-    /// How much was looked at so far: queries, pieces, entries of rows.
+    /// How much was looked at so far: queries, parts, entries of rows.
     #[doc(hidden)]
     pub fn looks(&self) -> u64 {
         self.looks.get()
@@ -100,11 +101,11 @@
         let mut due = self.desk.calendar.take(self.now);
         if take(&mut self.desk.calendar.recount) || self.all {
             for (id, q) in &mut self.desk.queries {
-                for p in &mut q.pieces {
-                    p.housed = !self.fleet.rows.of(p.shard).is_empty();
+                for p in &mut q.parts {
+                    p.has_holders = !self.fleet.rows.of(p.shard).is_empty();
                 }
-                q.recount(&self.set, self.now);
-                self.looks.set(self.looks.get() + q.pieces.len() as u64);
+                q.recount(&self.settings, self.now);
+                self.looks.set(self.looks.get() + q.parts.len() as u64);
                 due.insert(id.clone());
             }
         }
@@ -112,20 +113,20 @@
         due
     }
 
-    /// Moves on those of a query's pieces that this moment makes late.
-    pub(crate) fn advance(&self, q: &mut Held) {
-        let floor = self.late_floor(q);
+    /// Moves on those of a query's parts that this moment makes late.
+    pub(crate) fn advance(&self, q: &mut QueryState) {
+        let floor = self.min_late_age(q);
         let rose = floor > replace(&mut q.agenda.floor, floor);
         let mut moved: Vec<usize> = Vec::new();
         if rose {
             moved.extend(q.agenda.late.iter().chain(&q.agenda.late_spent));
         }
-        while let Some(Reverse((at, i, tries))) = q.agenda.out.peek().copied()
+        while let Some(Reverse((at, i, attempts))) = q.agenda.out.peek().copied()
             && at.0 - FUZZ <= self.now
         {
             q.agenda.out.pop();
-            let p = &q.pieces[i];
-            if p.stand == Stand::Out && p.tries.len() == tries {
+            let p = &q.parts[i];
+            if p.stand == Stand::Out && p.attempts.len() == attempts {
                 moved.push(i);
             }
         }
@@ -138,44 +139,48 @@
         self.looked(moved.len());
         for i in moved {
             q.lift(i);
-            q.settle(&self.set, self.now, i);
+            q.settle(&self.settings, self.now, i);
         }
     }
 
-    /// Sends what the turn calls for: of all pieces, or of those that are due.
-    pub(crate) fn run_pieces(&mut self, q: &mut Held, all: bool) {
-        let (mut from, mut blocked) = (q.step_from, false);
+    /// Sends what the turn calls for: of all parts, or of those that are due.
+    pub(crate) fn run_parts(&mut self, q: &mut QueryState, all: bool) {
+        let (mut from, mut blocked) = (q.step_start, false);
         loop {
             let i = if all || self.all {
                 from
             } else {
-                q.next_piece(&self.set, from, blocked).unwrap_or(usize::MAX)
+                q.next_part(&self.settings, from, blocked).unwrap_or(usize::MAX)
             };
-            if i >= q.pieces.len() {
+            if i >= q.parts.len() {
                 return;
             }
             self.looked(1);
             q.lift(i);
-            blocked |= !self.run_piece(q, i);
-            q.settle(&self.set, self.now, i);
+            blocked |= !self.run_part(q, i);
+            q.settle(&self.settings, self.now, i);
             from = i + 1;
         }
     }
 
     /// When a query that was looked at now is to be looked at again.
-    pub(crate) fn put_off(&mut self, id: &RequestId, q: &mut Held) {
-        let class = &self.set.classes[q.class];
+    pub(crate) fn put_off(&mut self, id: &RequestId, q: &mut QueryState) {
+        let class = &self.settings.classes[q.class];
         let a = &q.agenda;
         let idle = a.fresh.is_empty() && a.failed.is_empty() && a.late.is_empty();
-        let reserve = !a.reserve.is_empty() && (a.troubled() || q.may_leave(&self.set));
+        let reserve = !a.reserve.is_empty() && (a.troubled() || q.may_leave(&self.settings));
         // Where a second step is ahead, what was learned of such moves the moments.
-        let ahead = class.second_step && q.first_whole.is_none();
+        let ahead = class.second_step && q.first_answer_whole.is_none();
         let mut at = f64::NEG_INFINITY;
-        // What this turn did to the pieces, or a first answer, may call for a reply in the next.
+        // What this turn did to the parts, or a first answer, may call for a reply in the next.
         if idle && !reserve && !ahead && q.planned && !self.reply_may_be_due(q) {
-            let slack = REPLY_TICKS * self.set.tick;
+            let slack = REPLY_TICKS * self.settings.tick;
             // The moments of [`Aggregator::reply`]: an answer's useful end is one of the first two.
-            let ends = [q.give_up_at - slack, q.asked + class.aim - slack, q.asked + LEAVE_WAIT * class.aim];
+            let ends = [
+                q.deadline - slack,
+                q.first_asked_at + class.aim - slack,
+                q.first_asked_at + OMIT_WAIT_SHARE * class.aim,
+            ];
             let end = ends.into_iter().filter(|at| at + FUZZ > self.now).fold(f64::INFINITY, f64::min);
             let out = a.out.peek().map_or(f64::INFINITY, |Reverse((at, ..))| at.0);
             let late = a.past.first().map_or(f64::INFINITY, |(sent, _)| sent.0 + a.floor);
@@ -184,37 +189,37 @@
         self.desk.calendar.put(id, q, at, self.now);
     }
 
-    /// Whether a reply may be due: then all pieces are gone through.
-    pub(crate) fn may_reply(&self, q: &Held) -> bool {
+    /// Whether a reply may be due: then all parts are gone through.
+    pub(crate) fn may_reply(&self, q: &QueryState) -> bool {
         let may = self.all || !q.planned || self.reply_may_be_due(q);
-        self.looked(if may { q.pieces.len() } else { 0 });
+        self.looked(if may { q.parts.len() } else { 0 });
         may
     }
 
     /// False only where no reply is due, however the sums were rounded.
-    fn reply_may_be_due(&self, q: &Held) -> bool {
-        let (class, t) = (&self.set.classes[q.class], &q.tally);
-        let (drift, pieces) = (t.drift(), q.pieces.len() - q.step_from);
-        let slack = REPLY_TICKS * self.set.tick;
-        let second_at = self.now + self.second(q) + slack;
-        let second = q.first_whole.is_some();
+    fn reply_may_be_due(&self, q: &QueryState) -> bool {
+        let (class, t) = (&self.settings.classes[q.class], &q.tally);
+        let (drift, parts) = (t.drift(), q.parts.len() - q.step_start);
+        let slack = REPLY_TICKS * self.settings.tick;
+        let second_at = self.now + self.second_step_time(q) + slack;
+        let second = q.first_answer_whole.is_some();
         // Whether a sum is surely under, or over, a limit; a sum that is no number is neither.
-        let under = |sum: f64, limit: f64| sum + ROUNDING + drift < limit;
-        let over = |sum: f64, limit: f64| sum + ROUNDING > limit + drift;
-        let in_all = second && t.step_served == pieces;
-        if pieces > 0 && (in_all || !second && !under(t.have, class.need)) {
+        let under = |sum: f64, limit: f64| sum + TOLERANCE + drift < limit;
+        let over = |sum: f64, limit: f64| sum + TOLERANCE > limit + drift;
+        let in_all = second && t.step_served == parts;
+        if parts > 0 && (in_all || !second && !under(t.have, class.need)) {
             return true;
         }
-        let spoiled = self.spoiled(q);
+        let spoiled = self.is_suspect(q);
         let possible = t.possible(spoiled, true);
         if t.step_served > 0 && !under(t.have, class.floor) {
-            let earns = if q.first_whole == Some(false) { 1.0 } else { class.partial_earns };
-            let share = earns / class.need.max(ROUNDING);
-            let aim_over = second_at >= q.asked + class.aim;
+            let earns = if q.first_answer_whole == Some(false) { 1.0 } else { class.partial_earns };
+            let share = earns / class.need.max(TOLERANCE);
+            let aim_over = second_at >= q.first_asked_at + class.aim;
             let can_be_whole = over(possible, if second { 1.0 } else { class.need });
-            let waits = self.now < q.asked + LEAVE_WAIT * class.aim;
-            let more = t.possible(spoiled, waits) > t.have + ROUNDING + drift;
-            if second_at >= q.give_up_at
+            let waits = self.now < q.first_asked_at + OMIT_WAIT_SHARE * class.aim;
+            let more = t.possible(spoiled, waits) > t.have + TOLERANCE + drift;
+            if second_at >= q.deadline
                 || aim_over && !(can_be_whole && (t.have + drift) * share + drift < class.late_worth)
                 || !more
             {
@@ -222,58 +227,58 @@
             }
         }
         let have = t.have > drift;
-        self.now >= q.give_up_at - slack
-            || !(second && pieces == 0 || over(possible, class.floor.min(class.need)))
+        self.now >= q.deadline - slack
+            || !(second && parts == 0 || over(possible, class.floor.min(class.need)))
             || spoiled && !have
             || self.now >= self.useful_end(q)
     }
 
-    /// The weight of what a query would do without, were this piece left out too; from its sums where these tell for sure
-    /// that it is, or is not, within a limit. The piece itself is lifted.
-    pub(crate) fn without(&self, q: &Held, i: usize, limit: f64) -> f64 {
-        let sum = q.tally.without + q.pieces[i].weight;
+    /// The weight of what a query would do without, were this part left out too; from its sums where these tell for sure
+    /// that it is, or is not, within a limit. The part itself is lifted.
+    pub(crate) fn without(&self, q: &QueryState, i: usize, limit: f64) -> f64 {
+        let sum = q.tally.without + q.parts[i].weight;
         if !self.all && (sum - limit).abs() > q.tally.drift() {
             return sum;
         }
-        self.looked(q.pieces.len());
-        let parts = q.pieces.iter().enumerate().filter(|(j, p)| *j == i || is_without(p, q.max_attempts));
+        self.looked(q.parts.len());
+        let parts = q.parts.iter().enumerate().filter(|(j, p)| *j == i || is_without(p, q.max_attempts));
         parts.map(|(_, p)| p.weight).sum()
     }
 
-    /// Whether a piece was asked for, and its latest attempt has failed or is late.
-    pub(crate) fn any_troubled(&self, q: &Held) -> bool {
+    /// Whether a part was asked for, and its latest attempt has failed or is late.
+    pub(crate) fn any_troubled(&self, q: &QueryState) -> bool {
         if !self.all {
             return q.agenda.troubled();
         }
-        self.looked(q.pieces.len());
-        q.pieces.iter().any(|p| self.troubled(q, p))
+        self.looked(q.parts.len());
+        q.parts.iter().any(|p| self.failed_or_late(q, p))
     }
 
-    /// The longest attempt at a piece that is served.
-    pub(crate) fn longest_served(&self, q: &Held) -> Ms {
+    /// The longest attempt at a part that is served.
+    pub(crate) fn longest_served(&self, q: &QueryState) -> Millis {
         if !self.all {
             return q.tally.took;
         }
-        self.looked(q.pieces.len());
-        let tries = q.pieces.iter().filter(|p| p.served).flat_map(|p| &p.tries);
-        tries.map(|t| t.took).fold(0.0, f64::max)
+        self.looked(q.parts.len());
+        let attempts = q.parts.iter().filter(|p| p.served).flat_map(|p| &p.attempts);
+        attempts.map(|t| t.took).fold(0.0, f64::max)
     }
 
-    /// How many attempts lost a connection to a server that is silent since, and how many pieces are served.
-    pub(crate) fn broken_and_served(&self, q: &Held) -> (usize, usize) {
+    /// How many attempts lost a connection to a server that is silent since, and how many parts are served.
+    pub(crate) fn broken_and_served(&self, q: &QueryState) -> (usize, usize) {
         if !self.all {
-            return (q.broken, q.tally.served);
+            return (q.lost_to_silent, q.tally.served);
         }
-        self.looked(q.pieces.len());
-        let lost = |t: &&Try| t.outcome == Some(Outcome::ConnectionLost);
-        let tries = q.pieces.iter().flat_map(|p| &p.tries).filter(lost);
-        let broken = tries.filter(|t| self.fleet.servers[t.server].went_silent).count();
-        (broken, q.pieces.iter().filter(|p| p.served).count())
+        self.looked(q.parts.len());
+        let lost = |t: &&Attempt| t.outcome == Some(Outcome::ConnectionLost);
+        let attempts = q.parts.iter().flat_map(|p| &p.attempts).filter(lost);
+        let broken = attempts.filter(|t| self.fleet.servers[t.server].is_silent).count();
+        (broken, q.parts.iter().filter(|p| p.served).count())
     }
 
     /// Makes the rows anew: of these cells, or all.
     pub(crate) fn make_rows(&mut self, concerned: Option<BTreeSet<usize>>) {
-        let (cells, reach) = (self.set.cells, self.set.reach);
+        let (cells, reach) = (self.settings.cells, self.settings.reach);
         let (turned, written) = match concerned {
             Some(concerned) => self.fleet.mend_rows(&concerned),
             None => (self.fleet.make_rows(cells, reach), self.fleet.by_name.len()),
@@ -286,10 +291,10 @@
 
     /// A server has fallen silent, or was heard again: its lost connections tell otherwise of queries now.
     pub(crate) fn silence_turned(&mut self, server: usize) {
-        let silent = self.fleet.servers[server].went_silent;
+        let silent = self.fleet.servers[server].is_silent;
         for id in self.desk.calendar.lost_at.get(&server).into_iter().flatten() {
             if let Some(q) = self.desk.queries.get_mut(id) {
-                q.broken = if silent { q.broken + 1 } else { q.broken - 1 };
+                q.lost_to_silent = if silent { q.lost_to_silent + 1 } else { q.lost_to_silent - 1 };
                 self.desk.calendar.next.insert(id.clone());
                 self.looks.set(self.looks.get() + 1);
             }
--- a/crates/brookbend/src/estimates/load.rs
+++ b/crates/brookbend/src/estimates/load.rs
@@ -1,8 +1,8 @@
 //! What others have out at one server, as its own reports show it.
 
-use crate::api::Ms;
-use crate::choice::{Aggregator, NEWS, OVERDUE};
-use crate::state::{Flight, Server};
+use crate::api::Millis;
+use crate::choice::{Aggregator, OVERDUE_FACTOR, SMOOTHING};
+use crate::state::{InFlight, Server};
 
 /// Reported work drains by this share of the server's pace: about half of what leaves is made up by new work.
 const DRAIN: f64 = 0.5;
@@ -12,8 +12,8 @@
 /// Work of others at a server. Reports are late and may be untrue: what they tell drains with time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OthersLoad {
-    work: Ms,
-    since: Ms,
+    work: Millis,
+    since: Millis,
     /// What the newest report said that the server holds.
     held: f64,
 }
@@ -31,12 +31,12 @@
     }
 
     /// So much work of others is there now.
-    pub(crate) fn set(&mut self, work: Ms, now: Ms) {
+    pub(crate) fn set(&mut self, work: Millis, now: Millis) {
         (self.work, self.since) = (work, now);
     }
 
     /// What is left of it, at a server of this pace.
-    pub(crate) fn at(&self, now: Ms, pace: f64) -> Ms {
+    pub(crate) fn at(&self, now: Millis, pace: f64) -> Millis {
         let drained = DRAIN * (now - self.since) / pace.max(LEAST_PACE);
         (self.work - drained).max(0.0)
     }
@@ -45,18 +45,18 @@
 impl Aggregator {
     /// A server's report of what it holds shows what others have out there. It is late and may be untrue: it
     /// fills a few aims at most, drains with time, and no rule rests on it.
-    pub(crate) fn hear_load(&mut self, f: &Flight, load: Option<f64>) {
+    pub(crate) fn hear_load(&mut self, f: &InFlight, load: Option<f64>) {
         let Some(held) = load else { return };
-        let most = OVERDUE * self.shortest_aim / self.fleet_pace.max(NEWS);
+        let most = OVERDUE_FACTOR * self.shortest_aim / self.fleet_pace.max(SMOOTHING);
         let s = &mut self.fleet.servers[f.server];
         if s.others.is_new(held) {
-            let others = (held - s.flying.len() as f64).max(0.0);
+            let others = (held - s.in_flight.len() as f64).max(0.0);
             s.others.set((others * self.learned[f.class].work.unit()).min(most), self.now);
         }
     }
 
     /// Work of others at a server, as reported.
-    pub(crate) fn others(&self, s: &Server) -> Ms {
+    pub(crate) fn others(&self, s: &Server) -> Millis {
         s.others.at(self.now, s.pace.told())
     }
 }
--- a/crates/brookbend/src/estimates/mod.rs
+++ b/crates/brookbend/src/estimates/mod.rs
@@ -11,15 +11,20 @@
 pub(crate) use pace::Pace;
 pub(crate) use work::Work;
 
-use crate::state::{Learned, Server};
+use crate::state::{ClassEstimates, Server};
 
 /// The most worth for work that a query of any class has, by units of work as they are estimated now. `density` is that of the
 /// query at hand. Classes whose unit is a guess look worth more than they will be: they count for their own queries alone.
 ///
 /// What each class had at best is kept in units of work: the unit moves with load, and worth that was weighed by the unit of an
 /// idle hour would make all queries of a busy one look poor.
-pub(crate) fn best_density(learned: &mut [Learned], class: usize, density: f64, worth_by_work: bool) -> f64 {
-    let unit = |of: &Learned| if worth_by_work { 1.0 } else { of.work.unit() };
+pub(crate) fn best_density(
+    learned: &mut [ClassEstimates],
+    class: usize,
+    density: f64,
+    worth_by_work: bool,
+) -> f64 {
+    let unit = |of: &ClassEstimates| if worth_by_work { 1.0 } else { of.work.unit() };
     let own = &mut learned[class];
     own.best_worth = own.best_worth.max(density * unit(own));
     let known = learned.iter().enumerate().filter(|(of, l)| *of == class || l.work.known());
@@ -30,7 +35,7 @@
 ///
 /// Without this one time counts twice: hundreds of answers of one query step the unit up to the time that they took, while
 /// each server's pace has been told that same time against the guess. Units that are known move without it.
-pub(crate) fn rescale(learned: &mut [Learned], servers: &mut [Server]) {
+pub(crate) fn rescale(learned: &mut [ClassEstimates], servers: &mut [Server]) {
     for (class, learned) in learned.iter_mut().enumerate() {
         let Some(change) = learned.work.take_change() else { continue };
         for server in servers.iter_mut() {
@@ -59,20 +64,20 @@
     const CALL: f64 = 1.0;
 
     /// A class whose answers took so long, often enough to be known.
-    fn known(time: f64) -> Learned {
-        let mut learned = Learned { work: Work::new(CALL), ..Learned::default() };
+    fn known(time: f64) -> ClassEstimates {
+        let mut learned = ClassEstimates { work: Work::new(CALL), ..ClassEstimates::default() };
         takes(&mut learned, time);
         assert!(learned.work.known());
         learned
     }
 
-    fn takes(learned: &mut Learned, time: f64) {
+    fn takes(learned: &mut ClassEstimates, time: f64) {
         (0..2000).for_each(|_| learned.work.answered(time));
         learned.work.take_change();
     }
 
     /// The density of a query that is worth 1 and has this many parts.
-    fn density(learned: &[Learned], class: usize, parts: f64) -> f64 {
+    fn density(learned: &[ClassEstimates], class: usize, parts: f64) -> f64 {
         1.0 / (parts * learned[class].work.unit())
     }
 
@@ -93,7 +98,8 @@
 
     #[test]
     fn a_class_whose_work_is_a_guess_makes_no_other_look_poor() {
-        let mut learned = [known(60.0), Learned { work: Work::new(CALL), ..Learned::default() }];
+        let mut learned =
+            [known(60.0), ClassEstimates { work: Work::new(CALL), ..ClassEstimates::default() }];
         let guess = density(&learned, 1, 1.0);
         assert_eq!(best_density(&mut learned, 1, guess, false), guess);
         let of_known = density(&learned, 0, 1.0);
--- a/crates/brookbend/src/estimates/work.rs
+++ b/crates/brookbend/src/estimates/work.rs
@@ -1,13 +1,13 @@
 //! The work of a part of one class, from how long answers took.
 
-use crate::api::Ms;
+use crate::api::Millis;
 
 /// Quantile of answer times taken as the work of one part where there are no hints, and its step.
 const QUANTILE: f64 = 0.2;
 const STEP: f64 = 0.05;
 /// Work of a part before any answer, in multiples of a call's fixed work.
 const FIRST: f64 = 2.0;
-/// So many first answers are not stepped by: the shortest of them is the work, as near its quantile as so few tell.
+/// So many first answers are not first_answered_at by: the shortest of them is the work, as near its quantile as so few tell.
 const FEW: u32 = 8;
 /// Before any answer a cold server is taken to need this share of the aim for a part: a call may cost far less than the
 /// part it carries, and where all aggregators start at once all would take the one for the other.
@@ -24,11 +24,11 @@
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Work {
     /// What forecasts go by: it steps from what a call costs, and takes hundreds of answers to come to what a part does.
-    unit: Ms,
+    unit: Millis,
     /// What a part took beside its call: the first answers tell it.
-    alone: Ms,
+    alone: Millis,
     /// Work of a call.
-    call: Ms,
+    call: Millis,
     /// Answers, as far as they are few.
     answers: u32,
     /// Whether the unit has come near what answers take. Until then it is a guess on its way there.
@@ -50,16 +50,16 @@
 
 impl Work {
     /// Before any answer.
-    pub(crate) fn new(call: Ms) -> Self {
+    pub(crate) fn new(call: Millis) -> Self {
         Work { unit: call.max(1.0) * FIRST, call, moved: 1.0, scale: 1.0, ..Work::default() }
     }
 
     /// As another learned it, of whom nobody knows from how many answers: it counts as a guess.
-    pub(crate) fn learned(unit: Ms, call: Ms) -> Self {
+    pub(crate) fn learned(unit: Millis, call: Millis) -> Self {
         Work { unit, ..Work::new(call) }
     }
 
-    pub(crate) fn unit(&self) -> Ms {
+    pub(crate) fn unit(&self) -> Millis {
         self.unit
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// An answer took so long.
-    pub(crate) fn answered(&mut self, elapsed: Ms) {
+    pub(crate) fn answered(&mut self, elapsed: Millis) {
         let step = toward(self.unit, elapsed);
         if !self.known {
             self.moved *= step;
@@ -118,13 +118,13 @@
 
     /// What a part of this work counts for at a server that has just started. What forecasts go by is left where it is not
     /// off by more than FAR times: the allowance has room for that, and is used so.
-    pub(crate) fn at_cold(&self, work: Ms, aim: Ms) -> Ms {
+    pub(crate) fn at_cold(&self, work: Millis, aim: Millis) -> Millis {
         let told = if self.answers == 0 { UNKNOWN_AIM * aim } else { self.alone };
         if told > FAR * work { told } else { work }
     }
 }
 
 /// One step of an estimate towards the quantile of what is seen.
-fn toward(estimate: Ms, seen: Ms) -> f64 {
+fn toward(estimate: Millis, seen: Millis) -> f64 {
     1.0 + STEP * if seen > estimate { QUANTILE } else { QUANTILE - 1.0 }
 }
--- a/crates/brookbend/src/fleet.rs
+++ b/crates/brookbend/src/fleet.rs
@@ -84,14 +84,14 @@
     /// A batch begins: nothing shares a call yet.
     pub(crate) fn begin_batch(&mut self) {
         for i in std::mem::take(&mut self.called) {
-            (self.servers[i].bundled, self.servers[i].bundled_work) = (0, 0.0);
+            (self.servers[i].batch_parts, self.servers[i].batch_work) = (0, 0.0);
         }
     }
 
     /// Forgets the servers that are gone, not heard since this time and without anything that refers to them.
-    pub(crate) fn forget_gone(&mut self, unheard: Ms, in_use: impl FnOnce() -> BTreeSet<usize>) {
+    pub(crate) fn forget_gone(&mut self, unheard: Millis, in_use: impl FnOnce() -> BTreeSet<usize>) {
         let servers = &self.servers;
-        let gone = |i: &usize| servers[*i].state == NodeState::Gone && servers[*i].heard < unheard;
+        let gone = |i: &usize| servers[*i].state == NodeState::Gone && servers[*i].last_response_at < unheard;
         let mut forgotten: Vec<usize> = self.by_name.values().copied().filter(gone).collect();
         if forgotten.is_empty() {
             return;
--- a/crates/brookbend/src/lib.rs
+++ b/crates/brookbend/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! For each query it picks how many whole replica rows to touch, spreads the query's parts over those rows
 //! by turns and bundles what goes to one server into one call. It watches its own attempts to tell sick
-//! servers from well ones, tries again within budgets, answers, and refuses what cannot be in time.
+//! servers from well ones, attempts again within budgets, answers, and refuses what cannot be in time.
 //!
 //! It does no input or output of its own: hand it events, carry out the actions.
 //!
@@ -15,11 +15,11 @@
 //!     need: 1.0, floor: 1.0, partial_earns: 0.0, second_step: false,
 //! };
 //! let settings = Settings {
-//!     classes: vec![class], tenants: vec![], aggregators: 2, zone: None, over_share_worth: 1.0, worth_by_work: false, marks_again: false,
+//!     classes: vec![class], tenants: vec![], aggregators: 2, zone: None, over_share_worth: 1.0, worth_by_work: false, clients_mark_retries: false,
 //!     cells: 3, reach: 2, shards: 3, batch: 8, call_work: 10.0, max_attempts: 3,
-//!     second_copies: true, cancel: true, max_retry_after: Some(500.0), tick: 5.0,
-//!     list: ListSource::Pushed, ask_within: 10_000.0, budget: None,
-//!     cold: ColdRule { from: 0.2, warm_after: 10_000.0, fall_multiple: 2.0, fall_after: 2000.0 },
+//!     hedging: true, cancel: true, max_retry_after: Some(500.0), tick: 5.0,
+//!     list: ListSource::Pushed, list_deadline: 10_000.0, budget: None,
+//!     cold: ColdRule { initial_capacity: 0.2, warm_after: 10_000.0, overload_factor: 2.0, overload_time: 2000.0 },
 //! };
 //! let mut aggregator = Aggregator::new(settings, 7);
 //! let members = (0..3)
@@ -35,7 +35,7 @@
 //! let actions = aggregator.on_batch(5.0, vec![
 //!     Event::Query(Query {
 //!         id: query.clone(), group: 1, class: ClassIndex(0), tenant: TenantIndex(0),
-//!         give_up_at: 4005.0, patience_ends: 4005.0, max_attempts: None, again: false,
+//!         deadline: 4005.0, client_deadline: 4005.0, max_attempts: None, is_retry: false,
 //!     }),
 //!     Event::Part(Part { id: part.clone(), group: 1, shard: 0, weight: 1.0, work_hint: None }),
 //! ]);
@@ -57,15 +57,15 @@
 mod due;
 mod estimates;
 mod fleet;
-pub mod own;
+pub mod overhead;
 mod probe;
-pub mod recall;
+mod reconfigure;
 pub mod refusals;
-mod retune;
 pub mod room;
 pub mod settings;
+pub mod snapshot;
 mod state;
 pub mod view;
 
 pub use choice::Aggregator;
-pub use retune::Begun;
+pub use reconfigure::NewClass;
--- a/crates/brookbend/src/probe.rs
+++ b/crates/brookbend/src/probe.rs
@@ -3,12 +3,12 @@
 //! Forecasts are lowered by answers alone. Where all queries of a class are refused none will come, and what the class has
 //! learned of a slow spell would be believed long after it, whatever answers other classes get.
 
-use crate::api::{Ms, RequestId};
+use crate::api::{Millis, RequestId};
 
 /// So many queries of a class in a row are refused on arrival before one is let in as a probe.
 const REFUSED_BEFORE_PROBE: u32 = 3;
 /// Least time from one probe of a class to the next, where the first was not served in time.
-const PROBE_INTERVAL: Ms = 500.0;
+const PROBE_INTERVAL: Millis = 500.0;
 
 /// The probes of one class, of which one is under way at a time.
 #[derive(Clone, Default)]
@@ -16,7 +16,7 @@
     refused_in_a_row: u32,
     under_way: Option<RequestId>,
     /// No probe before this.
-    next_at: Ms,
+    next_at: Millis,
 }
 
 impl Probes {
@@ -31,7 +31,7 @@
     }
 
     /// Whether this query is let in as a probe.
-    pub(crate) fn lets_in(&mut self, query: &RequestId, now: Ms) -> bool {
+    pub(crate) fn lets_in(&mut self, query: &RequestId, now: Millis) -> bool {
         if self.refused_in_a_row < REFUSED_BEFORE_PROBE || now < self.next_at {
             return false;
         }
@@ -41,7 +41,7 @@
     }
 
     /// A query was served in time. If it was the probe, the next may follow at once.
-    pub(crate) fn note_served(&mut self, query: &RequestId, now: Ms) {
+    pub(crate) fn note_served(&mut self, query: &RequestId, now: Millis) {
         if self.under_way.take_if(|probe| probe == query).is_some() {
             self.next_at = now;
         }
--- a/crates/brookbend/src/retune.rs
+++ b/crates/brookbend/src/reconfigure.rs
@@ -5,57 +5,58 @@
 
 use crate::api::*;
 use crate::choice::Aggregator;
-use crate::state::Learned;
+use crate::state::ClassEstimates;
 
 /// A class that begins at an index, and the one whose experience it takes over: itself, before it changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Begun {
+pub struct NewClass {
     /// Its index.
     pub class: ClassIndex,
     /// Whose experience counts for it.
-    pub heir_of: Option<ClassIndex>,
+    pub inherits_from: Option<ClassIndex>,
 }
 
 impl Aggregator {
     /// Goes by these settings from the next batch on.
-    pub fn retune(&mut self, set: Settings, begun: &[Begun]) {
-        let fresh = Aggregator::new(set, 0);
+    pub fn reconfigure(&mut self, settings: Settings, new_classes: &[NewClass]) {
+        let fresh = Aggregator::new(settings, 0);
         let first = fresh.learned.first().cloned().unwrap_or_default();
         self.learned.resize(fresh.learned.len(), first.clone());
-        for b in begun {
-            let of: Learned = b.heir_of.and_then(|h| self.learned.get(h.0)).cloned().unwrap_or(first.clone());
+        for b in new_classes {
+            let of: ClassEstimates =
+                b.inherits_from.and_then(|h| self.learned.get(h.0)).cloned().unwrap_or(first.clone());
             if let Some(learned) = self.learned.get_mut(b.class.0) {
                 *learned = of;
             }
             for server in &mut self.fleet.servers {
-                match b.heir_of.and_then(|h| server.of_class.get(&h.0)).cloned() {
-                    Some(met) => server.of_class.insert(b.class.0, met),
-                    None => server.of_class.remove(&b.class.0),
+                match b.inherits_from.and_then(|h| server.by_class.get(&h.0)).cloned() {
+                    Some(met) => server.by_class.insert(b.class.0, met),
+                    None => server.by_class.remove(&b.class.0),
                 };
             }
         }
-        self.tenant_taken.resize_with(fresh.set.tenants.len(), Default::default);
-        if self.desk.demand.cells() != fresh.set.cells {
+        self.tenant_arrivals.resize_with(fresh.settings.tenants.len(), Default::default);
+        if self.desk.demand.cells() != fresh.settings.cells {
             self.desk.demand = fresh.desk.demand;
         }
-        self.set = fresh.set;
+        self.settings = fresh.settings;
         self.shortest_aim = fresh.shortest_aim;
         self.make_rows(None);
         self.desk.calendar.all_changed();
     }
 
     /// Others begin at these tenants' indices: what the tenants before took of their shares is none of theirs.
-    pub fn forget_tenants(&mut self, tenants: &[usize]) {
+    pub fn reset_tenants(&mut self, tenants: &[usize]) {
         for tenant in tenants {
-            self.tenant_taken.get_mut(*tenant).into_iter().for_each(|taken| taken.clear());
+            self.tenant_arrivals.get_mut(*tenant).into_iter().for_each(|taken| taken.clear());
         }
     }
 }
 
 impl Aggregator {
     /// The queries in hand are over by then, whatever their clients would wait.
-    pub fn end_by(&mut self, at: Ms) {
-        self.desk.queries.values_mut().for_each(|q| q.give_up_at = q.give_up_at.min(at));
+    pub fn cap_deadlines(&mut self, at: Millis) {
+        self.desk.queries.values_mut().for_each(|q| q.deadline = q.deadline.min(at));
         self.desk.calendar.all_changed();
     }
 }
@@ -63,13 +64,13 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::settings::{Message, decode};
-    use crate::view::Bulk;
+    use crate::settings::{JsonObject, decode};
+    use crate::view::OutcomeCounts;
 
     fn settings() -> Settings {
         let settings: serde_json::Value =
             serde_json::from_str(include_str!("../../model/tests/settings.json")).unwrap();
-        decode(&Message::new("settings", settings.as_object().unwrap())).unwrap().settings
+        decode(&JsonObject::new("settings", settings.as_object().unwrap())).unwrap().settings
     }
 
     fn member(n: usize) -> Member {
@@ -84,20 +85,20 @@
         let mut aggregator = Aggregator::new(settings(), 7);
         let members = (0..3).map(member).collect();
         aggregator.on_batch(1000.0, vec![Event::List { kind: ListKind::Complete, members }]);
-        let errors = Bulk { node: member(1).node, served: 0, errors: 8, lost: 0, elapsed: None };
-        aggregator.report_bulk(1000.0, ClassIndex(0), &[errors]);
+        let errors = OutcomeCounts { node: member(1).node, served: 0, errors: 8, lost: 0, elapsed: None };
+        aggregator.report_outcomes(1000.0, ClassIndex(0), &[errors]);
         aggregator.learned[0].lag = 17.0;
         let before = aggregator.views(1001.0);
         let mut other = settings();
         other.classes.extend([other.classes[0].clone(), other.classes[1].clone()]);
         other.tenants.push(Tenant { quota_per_s: 1.0 });
-        let begun = |class, heir_of| Begun { class: ClassIndex(class), heir_of };
-        aggregator.retune(other, &[begun(3, Some(ClassIndex(0))), begun(4, None)]);
+        let new_classes = |class, inherits_from| NewClass { class: ClassIndex(class), inherits_from };
+        aggregator.reconfigure(other, &[new_classes(3, Some(ClassIndex(0))), new_classes(4, None)]);
         assert_eq!(aggregator.views(1001.0), before);
         assert!(before[1].ejected_until.is_some() && before[2].cold_since.is_some());
         assert_eq!([0, 3, 4].map(|c| aggregator.learned[c].lag), [17.0, 17.0, 0.0]);
-        assert!(aggregator.fleet.servers.iter().any(|s| s.of_class.contains_key(&3)));
-        assert!(aggregator.fleet.servers.iter().all(|s| !s.of_class.contains_key(&4)));
-        assert_eq!((aggregator.learned.len(), aggregator.tenant_taken.len()), (5, 2));
+        assert!(aggregator.fleet.servers.iter().any(|s| s.by_class.contains_key(&3)));
+        assert!(aggregator.fleet.servers.iter().all(|s| !s.by_class.contains_key(&4)));
+        assert_eq!((aggregator.learned.len(), aggregator.tenant_arrivals.len()), (5, 2));
     }
 }
--- a/crates/brookbend/src/refusals.rs
+++ b/crates/brookbend/src/refusals.rs
@@ -1,6 +1,6 @@
 //! Why queries are refused on arrival: the terms of the decision, kept for whoever has to explain it. Nothing here decides.
 
-use crate::api::{ClassIndex, Ms};
+use crate::api::{ClassIndex, Millis};
 
 /// What one arriving query was weighed by.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -8,17 +8,17 @@
     /// Its class.
     pub class: ClassIndex,
     /// Forecast of its parts, on the mean.
-    pub mean: Ms,
+    pub mean: Millis,
     /// Forecast of its slowest part.
-    pub slowest: Ms,
+    pub slowest: Millis,
     /// What this aggregator itself needs for the parts that it has out and those of the query.
-    pub own: Ms,
+    pub overhead: Millis,
     /// Forecast of the query: between its parts' mean and the slowest, and what the aggregator needs.
-    pub forecast: Ms,
+    pub forecast: Millis,
     /// What queries of its class take beyond their forecast, as far as it counts here.
-    pub lag: Ms,
+    pub lag: Millis,
     /// The time that forecast and lag may take together; not above 0 where the aim has passed.
-    pub allowed: Ms,
+    pub allowed: Millis,
 }
 
 impl Assessment {
@@ -35,10 +35,10 @@
             Some(Cause::PastAim)
         } else if self.mean > self.allowed {
             Some(Cause::Mean)
-        } else if self.forecast - self.own > self.allowed {
+        } else if self.forecast - self.overhead > self.allowed {
             Some(Cause::Slowest)
         } else if self.forecast > self.allowed {
-            Some(Cause::Own)
+            Some(Cause::Overhead)
         } else {
             Some(Cause::Lag)
         }
@@ -55,7 +55,7 @@
     /// The forecast of its slowest part.
     Slowest,
     /// The time that this aggregator itself needs for what it has in hand.
-    Own,
+    Overhead,
     /// What queries take beyond their forecast.
     Lag,
 }
@@ -69,8 +69,8 @@
     pub mean: u64,
     /// See [`Cause::Slowest`].
     pub slowest: u64,
-    /// See [`Cause::Own`].
-    pub own: u64,
+    /// See [`Cause::Overhead`].
+    pub overhead: u64,
     /// See [`Cause::Lag`].
     pub lag: u64,
     /// The newest of them.
@@ -87,7 +87,7 @@
             Cause::PastAim => &mut self.past_aim,
             Cause::Mean => &mut self.mean,
             Cause::Slowest => &mut self.slowest,
-            Cause::Own => &mut self.own,
+            Cause::Overhead => &mut self.overhead,
             Cause::Lag => &mut self.lag,
         } += 1;
         self.newest = Some(assessment);
@@ -95,7 +95,7 @@
 
     /// All of them.
     pub fn total(&self) -> u64 {
-        self.past_aim + self.mean + self.slowest + self.own + self.lag
+        self.past_aim + self.mean + self.slowest + self.overhead + self.lag
     }
 }
 
@@ -110,7 +110,7 @@
             class,
             mean: 10.0,
             slowest: 30.0,
-            own: 0.0,
+            overhead: 0.0,
             forecast: 20.0,
             lag: 5.0,
             allowed: 40.0,
@@ -119,10 +119,10 @@
             Assessment { allowed: -1.0, ..in_time },
             Assessment { mean: 41.0, forecast: 41.0, ..in_time },
             Assessment { slowest: 80.0, forecast: 45.0, ..in_time },
-            Assessment { own: 21.0, forecast: 41.0, ..in_time },
+            Assessment { overhead: 21.0, forecast: 41.0, ..in_time },
             Assessment { lag: 21.0, ..in_time },
         ];
-        let causes = [Cause::PastAim, Cause::Mean, Cause::Slowest, Cause::Own, Cause::Lag];
+        let causes = [Cause::PastAim, Cause::Mean, Cause::Slowest, Cause::Overhead, Cause::Lag];
         assert_eq!(refused.map(|of| of.cause()), causes.map(Some));
         assert_eq!(in_time.cause(), None);
         let mut refusals = Refusals::default();
--- a/crates/brookbend/src/settings.rs
+++ b/crates/brookbend/src/settings.rs
@@ -19,21 +19,21 @@
     /// Most parts that one connection carries at once.
     pub multiplex: Option<u64>,
     /// A connection must be up within this time.
-    pub dial_timeout: Option<Ms>,
+    pub dial_timeout: Option<Millis>,
     /// Servers close connections that have been idle for this long.
-    pub keepalive: Option<Ms>,
+    pub keepalive: Option<Millis>,
 }
 
 /// A JSON object, with what an error about it has to name.
-pub struct Message<'a> {
+pub struct JsonObject<'a> {
     name: &'a str,
     fields: &'a Map<String, Value>,
 }
 
-impl<'a> Message<'a> {
+impl<'a> JsonObject<'a> {
     /// The object of this name.
     pub fn new(name: &'a str, fields: &'a Map<String, Value>) -> Self {
-        Message { name, fields }
+        JsonObject { name, fields }
     }
     /// What errors call it.
     pub fn name(&self) -> &str {
@@ -118,21 +118,21 @@
         if numbers.len() == list.len() { Ok(numbers) } else { self.bad(field, "is not a list of numbers") }
     }
     /// An object inside this one.
-    pub fn inner<'b>(&'b self, field: &'b str) -> Result<Message<'b>, String> {
+    pub fn inner<'b>(&'b self, field: &'b str) -> Result<JsonObject<'b>, String> {
         match self.get(field) {
             None => self.bad(field, "is missing"),
             Some(v) => match v.as_object() {
-                Some(fields) => Ok(Message { name: field, fields }),
+                Some(fields) => Ok(JsonObject { name: field, fields }),
                 None => self.bad(field, "is not an object"),
             },
         }
     }
     /// The objects of a list inside this one.
-    pub fn objects<'b>(&'b self, field: &'b str) -> Result<Vec<Message<'b>>, String> {
+    pub fn objects<'b>(&'b self, field: &'b str) -> Result<Vec<JsonObject<'b>>, String> {
         let mut objects = Vec::new();
         for v in self.list(field)? {
             match v.as_object() {
-                Some(fields) => objects.push(Message { name: field, fields }),
+                Some(fields) => objects.push(JsonObject { name: field, fields }),
                 None => return self.bad(field, "holds something that is not an object"),
             }
         }
@@ -144,14 +144,14 @@
     n.filter(|n| n.fract() == 0.0 && *n >= 0.0 && *n < 9.3e18).map(|n| n as u64)
 }
 
-fn nth(list: &[f64], index: usize, m: &Message, field: &str) -> Result<f64, String> {
+fn nth(list: &[f64], index: usize, m: &JsonObject, field: &str) -> Result<f64, String> {
     match list.get(index) {
         Some(n) => Ok(*n),
         None => m.bad(field, "has too few entries"),
     }
 }
 
-fn classes(env: &Message, family: &Message) -> Result<Vec<Class>, String> {
+fn classes(env: &JsonObject, family: &JsonObject) -> Result<Vec<Class>, String> {
     let need = family.numbers("ClassNeed")?;
     let floor = family.numbers("MinShare")?;
     let earns = family.numbers("PartialEarns")?;
@@ -180,7 +180,7 @@
 }
 
 /// Reads the settings. The error names the faulty field.
-pub fn decode(env: &Message) -> Result<Site, String> {
+pub fn decode(env: &JsonObject) -> Result<Site, String> {
     let family = env.inner("FamilyInfo")?;
     let allowed = env.inner("Allowed")?;
     let rules = env.inner("Rules")?;
@@ -197,9 +197,11 @@
     ) {
         // A span alone rations nothing.
         (None, None, _) => None,
-        (spare, per_request, Some(span)) => {
-            Some(AttemptBudget { spare: spare.unwrap_or(0.0), per_request: per_request.unwrap_or(0.0), span })
-        }
+        (spare, per_request, Some(span)) => Some(AttemptBudget {
+            free_attempts: spare.unwrap_or(0.0),
+            per_request: per_request.unwrap_or(0.0),
+            window: span,
+        }),
         _ => return rules.bad("RatioSpan", "is missing"),
     };
     let list = match env.text("MembershipMode")? {
@@ -214,7 +216,7 @@
         zone: env.opt_whole("Locality")?.map(|z| z as usize),
         over_share_worth: env.opt_number("OverShareWorth")?.unwrap_or(1.0),
         worth_by_work: env.get("WorthBy").and_then(Value::as_str) == Some("work"),
-        marks_again: match env.get("Clients") {
+        clients_mark_retries: match env.get("Clients") {
             Some(_) => env.inner("Clients")?.flag("MarksRetry")?,
             None => false,
         },
@@ -224,7 +226,7 @@
         batch: family.whole("Batch")? as usize,
         call_work: family.number("Call")?,
         max_attempts: allowed.whole("SendCap")? as u32,
-        second_copies: allowed.flag("SecondCopies")?,
+        hedging: allowed.flag("SecondCopies")?,
         cancel: allowed.flag("Cancel")?,
         max_retry_after: if allowed.flag("RetryAfter")? {
             // Advice to come back after no time is none.
@@ -234,13 +236,13 @@
         },
         tick: env.number("Tick")?,
         list,
-        ask_within: rules.opt_number("AskWithin")?.unwrap_or(f64::INFINITY),
+        list_deadline: rules.opt_number("AskWithin")?.unwrap_or(f64::INFINITY),
         budget,
         cold: ColdRule {
-            from: rules.number("ColdFrom")?,
+            initial_capacity: rules.number("ColdFrom")?,
             warm_after: rules.number("Cold")?,
-            fall_multiple: rules.number("FallMultiple")?,
-            fall_after: rules.number("Fall")?,
+            overload_factor: rules.number("FallMultiple")?,
+            overload_time: rules.number("Fall")?,
         },
     };
     Ok(Site {
@@ -259,10 +261,10 @@
 }
 
 /// The names of a list of named things; empty where the list is absent.
-fn names(env: &Message, field: &str) -> Result<Vec<String>, String> {
+fn names(env: &JsonObject, field: &str) -> Result<Vec<String>, String> {
     if env.get(field).is_none() {
         return Ok(Vec::new());
     }
-    let name = |m: &Message| Ok(m.get("Name").and_then(Value::as_str).unwrap_or_default().to_owned());
+    let name = |m: &JsonObject| Ok(m.get("Name").and_then(Value::as_str).unwrap_or_default().to_owned());
     env.objects(field)?.iter().map(name).collect()
 }
--- a/crates/brookbend/src/recall.rs
+++ b/crates/brookbend/src/snapshot.rs
@@ -9,7 +9,7 @@
 
 /// All that is known.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Recall {
+pub struct Snapshot {
     /// The version of the list of servers that this rests on.
     pub rev: u64,
     /// Time until an answer per work, over the fleet.
@@ -17,73 +17,81 @@
     /// Work served by each warm server in a millisecond.
     pub served_rate: f64,
     /// By server.
-    pub servers: Vec<ServerRecall>,
+    pub servers: Vec<ServerSnapshot>,
     /// By class.
-    pub classes: Vec<ClassRecall>,
+    pub classes: Vec<ClassSnapshot>,
 }
 
 /// What is known of a server. Times are in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ServerRecall {
+pub struct ServerSnapshot {
     /// Its name.
     pub name: String,
     /// Whether the list says that it drains or is gone.
-    pub leaving: bool,
+    #[serde(rename = "leaving")]
+    pub draining_or_gone: bool,
     /// Time until an answer per work there.
     pub pace: f64,
     /// How long ago it was heard; `None`: never.
-    pub heard_ago: Option<f64>,
+    #[serde(rename = "heard_ago")]
+    pub last_response_age: Option<f64>,
     /// How long ago the newest attempt was sent that it served; `None`: there is none.
-    pub served_ago: Option<f64>,
+    #[serde(rename = "served_ago")]
+    pub last_served_sent_age: Option<f64>,
     /// Share of failures of late, and failures in a row.
     pub errors: f64,
     /// See above.
-    pub failures: u32,
+    #[serde(rename = "failures")]
+    pub consecutive_failures: u32,
     /// It is passed over for this long still.
-    pub shun_for: f64,
+    #[serde(rename = "shun_for")]
+    pub ejected_for: f64,
     /// It is full for this long still.
     pub full_for: f64,
     /// The length of its last ejection.
     pub ejection: f64,
     /// Whether it went silent, and was not heard since.
-    pub silent: bool,
+    #[serde(rename = "silent")]
+    pub is_silent: bool,
     /// Work sent to it while it is cold, within the rule's window: how long ago, and how much.
     pub cold_sent: Vec<(f64, f64)>,
 }
 
 /// What is known of a class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ClassRecall {
+pub struct ClassSnapshot {
     /// Its name.
     pub name: String,
     /// Rows that a query touches.
     pub rows: f64,
     /// Work of a part.
-    pub unit: f64,
+    #[serde(rename = "unit")]
+    pub work_per_part: f64,
     /// How long queries take beyond their forecast.
     pub lag: f64,
     /// How long the second step takes.
-    pub second: f64,
+    #[serde(rename = "second")]
+    pub second_step_time: f64,
 }
 
 impl Aggregator {
     /// All that is known at this moment. The classes come in the order of their indices, without their names.
-    pub fn recall(&self, now: Ms) -> Recall {
-        let ago = |at: Ms| (at > f64::NEG_INFINITY).then_some((now - at).max(0.0));
-        let left = |until: Ms| (until - now).max(0.0);
-        let from = now - self.set.cold.fall_after;
-        let server = |s: &Server| ServerRecall {
+    pub fn snapshot(&self, now: Millis) -> Snapshot {
+        let ago = |at: Millis| (at > f64::NEG_INFINITY).then_some((now - at).max(0.0));
+        let left = |until: Millis| (until - now).max(0.0);
+        let from = now - self.settings.cold.overload_time;
+        let server = |s: &Server| ServerSnapshot {
             name: s.node.0.as_ref().to_owned(),
-            leaving: s.state != NodeState::Serving,
+            draining_or_gone: s.state != NodeState::Serving,
             pace: s.pace.rescaled(),
-            heard_ago: ago(s.heard),
-            served_ago: ago(s.last_served_sent),
+            last_response_age: ago(s.last_response_at),
+            last_served_sent_age: ago(s.last_served_sent),
             errors: s.errors,
-            failures: s.failures,
-            shun_for: left(s.shun_until),
+            consecutive_failures: s.consecutive_failures,
+            ejected_for: left(s.ejected_until),
             full_for: left(s.full_until),
             ejection: s.ejection,
-            silent: s.went_silent,
+            is_silent: s.is_silent,
             cold_sent: s
                 .cold_sends
                 .iter()
@@ -91,14 +99,14 @@
                 .map(|(t, w)| ((now - t).max(0.0), *w))
                 .collect(),
         };
-        let class = |l: &crate::state::Learned| ClassRecall {
+        let class = |l: &crate::state::ClassEstimates| ClassSnapshot {
             name: String::new(),
             rows: l.width.rows,
-            unit: l.work.unit(),
+            work_per_part: l.work.unit(),
             lag: l.lag,
-            second: l.second,
+            second_step_time: l.second_step,
         };
-        Recall {
+        Snapshot {
             rev: 0,
             fleet_pace: self.fleet_rescaled,
             served_rate: self.desk.served_rate,
@@ -109,7 +117,7 @@
 
     /// Takes what another knew this long ago, where nothing is known here yet. A figure that is none is passed over. Its
     /// classes are those here, by index; one without a name is nobody's.
-    pub fn remember(&mut self, now: Ms, age: Ms, r: &Recall) {
+    pub fn restore(&mut self, now: Millis, age: Millis, r: &Snapshot) {
         let figure = |n: f64| n.is_finite() && n >= 0.0;
         let age = if figure(age) { age } else { 0.0 };
         if figure(r.fleet_pace) && r.fleet_pace > 0.0 {
@@ -119,13 +127,15 @@
             self.desk.served_rate = self.desk.served_rate.max(r.served_rate);
         }
         for (learned, known) in self.learned.iter_mut().zip(&r.classes).filter(|(_, k)| !k.name.is_empty()) {
-            if [known.rows, known.unit, known.lag, known.second].into_iter().all(figure) && known.unit > 0.0 {
+            if [known.rows, known.work_per_part, known.lag, known.second_step_time].into_iter().all(figure)
+                && known.work_per_part > 0.0
+            {
                 learned.width.rows = known.rows.max(1.0);
-                learned.work = Work::learned(known.unit, self.set.call_work);
-                (learned.lag, learned.second) = (known.lag, known.second);
+                learned.work = Work::learned(known.work_per_part, self.settings.call_work);
+                (learned.lag, learned.second_step) = (known.lag, known.second_step_time);
             }
         }
-        let window = self.set.cold.fall_after;
+        let window = self.settings.cold.overload_time;
         for known in &r.servers {
             let Some(&i) = self.fleet.by_name.get(&NodeId(known.name.as_str().into())) else { continue };
             let s = &mut self.fleet.servers[i];
@@ -134,20 +144,21 @@
                     s.cold_sends.push_back((now - ago - age, *work));
                 }
             }
-            let fresh = s.heard == f64::NEG_INFINITY && s.failures == 0;
-            let sound = [known.pace, known.errors, known.shun_for, known.full_for, known.ejection];
+            let fresh = s.last_response_at == f64::NEG_INFINITY && s.consecutive_failures == 0;
+            let sound = [known.pace, known.errors, known.ejected_for, known.full_for, known.ejection];
             if !fresh || !sound.into_iter().all(figure) || known.errors > 1.0 {
                 continue;
             }
             let at =
                 |ago: Option<f64>| ago.filter(|a| figure(*a)).map_or(f64::NEG_INFINITY, |a| now - a - age);
             s.pace = Pace::new(known.pace, known.pace);
-            s.heard = at(known.heard_ago);
-            s.last_served_sent = at(known.served_ago);
-            (s.errors, s.failures, s.ejection) = (known.errors, known.failures, known.ejection);
-            s.shun_until = now + (known.shun_for - age);
+            s.last_response_at = at(known.last_response_age);
+            s.last_served_sent = at(known.last_served_sent_age);
+            (s.errors, s.consecutive_failures, s.ejection) =
+                (known.errors, known.consecutive_failures, known.ejection);
+            s.ejected_until = now + (known.ejected_for - age);
             s.full_until = now + (known.full_for - age);
-            s.went_silent = known.silent;
+            s.is_silent = known.is_silent;
         }
     }
 }
@@ -155,12 +166,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::settings::{Message, decode};
+    use crate::settings::{JsonObject, decode};
 
     fn aggregator() -> Aggregator {
         let settings: serde_json::Value =
             serde_json::from_str(include_str!("../../model/tests/settings.json")).unwrap();
-        let site = decode(&Message::new("settings", settings.as_object().unwrap())).unwrap();
+        let site = decode(&JsonObject::new("settings", settings.as_object().unwrap())).unwrap();
         let mut aggregator = Aggregator::new(site.settings, 7);
         let member = |n: usize, state| Member {
             node: NodeId(format!("s{n}").into()),
@@ -176,14 +187,14 @@
     }
 
     fn sick(aggregator: &mut Aggregator) {
-        let bulk = |n: usize, served, errors| crate::view::Bulk {
+        let bulk = |n: usize, served, errors| crate::view::OutcomeCounts {
             node: NodeId(format!("s{n}").into()),
             served,
             errors,
             lost: 0,
             elapsed: Some(10.0),
         };
-        aggregator.report_bulk(1000.0, ClassIndex(0), &[bulk(0, 8, 0), bulk(1, 0, 8)]);
+        aggregator.report_outcomes(1000.0, ClassIndex(0), &[bulk(0, 8, 0), bulk(1, 0, 8)]);
     }
 
     /// The new one passes over whom the old one did, for as long as that would have, and knows who is well.
@@ -191,10 +202,10 @@
     fn what_was_known_is_known_by_another() {
         let mut old = aggregator();
         sick(&mut old);
-        let mut recall = old.recall(1100.0);
-        recall.classes.iter_mut().for_each(|c| c.name = "c".into());
+        let mut snapshot = old.snapshot(1100.0);
+        snapshot.classes.iter_mut().for_each(|c| c.name = "c".into());
         let mut new = aggregator();
-        new.remember(5000.0, 50.0, &recall);
+        new.restore(5000.0, 50.0, &snapshot);
         let (was, is) = (old.views(1150.0), new.views(5000.0));
         let left = was[1].ejected_until.unwrap() - 1150.0;
         assert!((is[1].ejected_until.unwrap() - 5000.0 - left).abs() < 1e-6, "{was:?} {is:?}");
@@ -204,12 +215,12 @@
     /// What was sent to a cold server within the window counts for the one that takes over.
     #[test]
     fn the_allowance_of_a_cold_server_is_spent_once() {
-        let mut recall = aggregator().recall(1000.0);
-        let cold = recall.servers.iter_mut().find(|s| s.name == "s2").unwrap();
+        let mut snapshot = aggregator().snapshot(1000.0);
+        let cold = snapshot.servers.iter_mut().find(|s| s.name == "s2").unwrap();
         cold.cold_sent = vec![(100.0, 40.0), (950.0, 9.0), (f64::NAN, 1.0)];
         let mut new = aggregator();
-        new.remember(1000.0, 100.0, &recall);
-        let spent = &new.recall(1000.0).servers[2].cold_sent;
+        new.restore(1000.0, 100.0, &snapshot);
+        let spent = &new.snapshot(1000.0).servers[2].cold_sent;
         assert_eq!(
             spent.as_slice(),
             [(200.0, 40.0)],
@@ -221,17 +232,17 @@
     fn own_news_goes_before_what_another_knew_and_noise_is_passed_over() {
         let mut old = aggregator();
         sick(&mut old);
-        let mut recall = old.recall(1000.0);
+        let mut snapshot = old.snapshot(1000.0);
         let mut new = aggregator();
         sick(&mut new);
-        let before = new.recall(1200.0);
-        new.remember(1200.0, 0.0, &Recall { fleet_pace: f64::NAN, served_rate: 0.0, ..recall.clone() });
-        assert_eq!(new.recall(1200.0).servers, before.servers);
-        recall.servers[1].pace = f64::INFINITY;
-        recall.servers[0].name = "s9".into();
+        let before = new.snapshot(1200.0);
+        new.restore(1200.0, 0.0, &Snapshot { fleet_pace: f64::NAN, served_rate: 0.0, ..snapshot.clone() });
+        assert_eq!(new.snapshot(1200.0).servers, before.servers);
+        snapshot.servers[1].pace = f64::INFINITY;
+        snapshot.servers[0].name = "s9".into();
         let mut new = aggregator();
-        let before = new.recall(1200.0).servers;
-        new.remember(1200.0, 0.0, &recall);
-        assert_eq!(new.recall(1200.0).servers, before);
+        let before = new.snapshot(1200.0).servers;
+        new.restore(1200.0, 0.0, &snapshot);
+        assert_eq!(new.snapshot(1200.0).servers, before);
     }
 }
--- a/crates/brookbend/src/state.rs
+++ b/crates/brookbend/src/state.rs
@@ -14,136 +14,136 @@
     pub(crate) state: NodeState,
     pub(crate) zone: Option<usize>,
     /// Work sent and not yet ended, and when each such attempt was sent and expected.
-    pub(crate) work_out: Ms,
-    pub(crate) flying: Vec<(Ms, Ms)>,
+    pub(crate) work_in_flight: Millis,
+    pub(crate) in_flight: Vec<(Millis, Millis)>,
     /// Time until an answer per own work outstanding.
     pub(crate) pace: Pace,
-    pub(crate) heard: Ms,
-    pub(crate) last_served_sent: Ms,
+    pub(crate) last_response_at: Millis,
+    pub(crate) last_served_sent: Millis,
     /// When its newest answer came.
-    pub(crate) answered_at: Ms,
+    pub(crate) last_answer_at: Millis,
     /// Share of failures, and failures in a row.
     pub(crate) errors: f64,
-    pub(crate) failures: u32,
+    pub(crate) consecutive_failures: u32,
     /// Of each class: its own share of failures, and when its newest answered attempt was sent.
-    pub(crate) of_class: BTreeMap<usize, OfClass>,
-    pub(crate) shun_until: Ms,
+    pub(crate) by_class: BTreeMap<usize, ClassHealth>,
+    pub(crate) ejected_until: Millis,
     /// Until when, since it turned a part away.
-    pub(crate) full_until: Ms,
-    pub(crate) ejection: Ms,
-    pub(crate) went_silent: bool,
-    pub(crate) cold_since: Option<Ms>,
+    pub(crate) full_until: Millis,
+    pub(crate) ejection: Millis,
+    pub(crate) is_silent: bool,
+    pub(crate) cold_since: Option<Millis>,
     /// Work sent within the last window of the cold rule, by time: also before a start is told.
-    pub(crate) cold_sends: VecDeque<(Ms, Ms)>,
+    pub(crate) cold_sends: VecDeque<(Millis, Millis)>,
     /// This second's draw for a turn at it while it is cold, and whether a part would take one.
-    pub(crate) lot: f64,
-    pub(crate) wished: bool,
+    pub(crate) cold_draw: f64,
+    pub(crate) wanted: bool,
     /// Parts sent in this batch: they share calls.
-    pub(crate) bundled: usize,
+    pub(crate) batch_parts: usize,
     /// Their work.
-    pub(crate) bundled_work: Ms,
+    pub(crate) batch_work: Millis,
     /// Work of others, by its own reports.
     pub(crate) others: OthersLoad,
 }
 
 /// What one class has met at a server.
 #[derive(Clone, Default)]
-pub(crate) struct OfClass {
+pub(crate) struct ClassHealth {
     pub(crate) errors: f64,
-    pub(crate) last_served_sent: Ms,
+    pub(crate) last_served_sent: Millis,
 }
 
-pub(crate) struct Try {
+pub(crate) struct Attempt {
     pub(crate) server: usize,
-    pub(crate) sent: Ms,
-    pub(crate) expected: Ms,
+    pub(crate) sent: Millis,
+    pub(crate) expected: Millis,
     pub(crate) outcome: Option<Outcome>,
     /// How long it took, once it has ended.
-    pub(crate) took: Ms,
+    pub(crate) took: Millis,
 }
 
-pub(crate) struct Piece {
+pub(crate) struct PartState {
     pub(crate) id: RequestId,
     pub(crate) shard: usize,
     pub(crate) weight: f64,
-    pub(crate) hint: Option<Ms>,
+    pub(crate) hint: Option<Millis>,
     /// Row holder at the first attempt, or any other once that is void.
     pub(crate) row_holder: Option<usize>,
-    pub(crate) tries: Vec<Try>,
+    pub(crate) attempts: Vec<Attempt>,
     pub(crate) served: bool,
     /// An any-k class can do without it for now.
-    pub(crate) reserve: bool,
+    pub(crate) in_reserve: bool,
     /// The answer can do without it, and its holders are behind.
-    pub(crate) left: bool,
+    pub(crate) omitted: bool,
     /// No attempt at it can be sent any more.
     pub(crate) unreachable: bool,
     /// Whether its shard has holders.
-    pub(crate) housed: bool,
+    pub(crate) has_holders: bool,
     /// Where it stood when it was last looked at.
     pub(crate) stand: Stand,
 }
 
-impl Piece {
+impl PartState {
     /// Attempts made; as many as there could be where no other can be sent.
-    pub(crate) fn tried(&self) -> u32 {
-        if self.unreachable { u32::MAX } else { self.tries.len() as u32 }
+    pub(crate) fn attempts_used(&self) -> u32 {
+        if self.unreachable { u32::MAX } else { self.attempts.len() as u32 }
     }
 }
 
 #[derive(Default)]
-pub(crate) struct Held {
+pub(crate) struct QueryState {
     pub(crate) class: usize,
     pub(crate) tenant: usize,
     pub(crate) group: u64,
-    pub(crate) arrived: Ms,
+    pub(crate) arrived: Millis,
     /// When the client first asked, as far as it shows: the aim counts from here.
-    pub(crate) asked: Ms,
-    pub(crate) give_up_at: Ms,
+    pub(crate) first_asked_at: Millis,
+    pub(crate) deadline: Millis,
     pub(crate) max_attempts: u32,
-    pub(crate) pieces: Vec<Piece>,
-    /// First piece of the step that is running; its pieces alone count.
-    pub(crate) step_from: usize,
+    pub(crate) parts: Vec<PartState>,
+    /// First part of the step that is running; its parts alone count.
+    pub(crate) step_start: usize,
     pub(crate) planned: bool,
-    pub(crate) first_whole: Option<bool>,
+    pub(crate) first_answer_whole: Option<bool>,
     /// When the first answer of a class with a second step was given.
-    pub(crate) stepped: Ms,
+    pub(crate) first_answered_at: Millis,
     /// Time until the slowest part's answer, as forecast on arrival.
-    pub(crate) forecast: Ms,
+    pub(crate) forecast: Millis,
     /// What of it this aggregator itself needs for what it had in hand then.
-    pub(crate) own: Ms,
+    pub(crate) overhead: Millis,
     /// Attempts that lost their connection, and those of them whose server is silent since.
-    pub(crate) lost: usize,
-    pub(crate) broken: usize,
+    pub(crate) lost_connections: usize,
+    pub(crate) lost_to_silent: usize,
     pub(crate) agenda: Agenda,
     pub(crate) tally: Tally,
     /// When it is to be looked at.
-    pub(crate) due: Ms,
+    pub(crate) due: Millis,
 }
 
-pub(crate) struct Flight {
+pub(crate) struct InFlight {
     pub(crate) server: usize,
     pub(crate) class: usize,
-    pub(crate) work: Ms,
-    pub(crate) ahead: Ms,
+    pub(crate) work: Millis,
+    pub(crate) queued: Millis,
     /// The scale of its class's work as it was sent.
     pub(crate) scale: f64,
-    pub(crate) sent: Ms,
+    pub(crate) sent: Millis,
     /// What this aggregator had been busy by then.
-    pub(crate) busy: Ms,
+    pub(crate) busy: Millis,
     /// Since when the connection is up that brought its answer, if that is told.
-    pub(crate) connected: Option<Ms>,
+    pub(crate) connected: Option<Millis>,
     /// Time until an answer, as forecast of its server alone, and with what this aggregator needs.
-    pub(crate) forecast: Ms,
-    pub(crate) expected: Ms,
+    pub(crate) forecast: Millis,
+    pub(crate) expected: Millis,
 }
 
 impl Settings {
-    pub(crate) fn shortest_aim(&self) -> Ms {
+    pub(crate) fn shortest_aim(&self) -> Millis {
         self.classes.iter().map(|c| c.aim).fold(f64::INFINITY, f64::min).min(1e9)
     }
 
     /// How long a part may be held at the most.
-    pub(crate) fn longest_wait(&self) -> Ms {
+    pub(crate) fn max_wait(&self) -> Millis {
         let wait = |c: &Class| if c.late_worth > 0.0 { c.give_up } else { c.aim };
         self.classes.iter().map(wait).fold(0.0, f64::max).min(1e9)
     }
@@ -151,19 +151,19 @@
 
 /// The patience that the clients of one class show.
 #[derive(Clone, Default)]
-pub(crate) struct Patience {
-    pub(crate) usual: Ms,
+pub(crate) struct ClientTimeout {
+    pub(crate) usual: Millis,
     pub(crate) votes: f64,
     /// When the clients first asked whose queries went unserved, and who have not come back yet.
-    pub(crate) unserved: VecDeque<Ms>,
+    pub(crate) unserved: VecDeque<Millis>,
 }
 
-/// Most first tries that went unserved that are remembered: of the newest.
+/// Most first attempts that went unserved that are remembered: of the newest.
 const UNSERVED: usize = 1024;
 
-impl Patience {
+impl ClientTimeout {
     /// Notes that a client who first asked then may come back.
-    pub(crate) fn note_unserved(&mut self, asked: Ms) {
+    pub(crate) fn note_unserved(&mut self, asked: Millis) {
         if self.unserved.len() == UNSERVED {
             self.unserved.pop_front();
         }
@@ -171,7 +171,7 @@
     }
 
     /// Takes out one that was noted for about this time. False: none was.
-    pub(crate) fn take_unserved(&mut self, asked: Ms, within: Ms) -> bool {
+    pub(crate) fn take_unserved(&mut self, asked: Millis, within: Millis) -> bool {
         let found = self.unserved.iter().position(|noted| (noted - asked).abs() <= within);
         found.is_some_and(|at| self.unserved.remove(at).is_some())
     }
@@ -182,17 +182,17 @@
 
 /// What is learned of one class.
 #[derive(Clone, Default)]
-pub(crate) struct Learned {
+pub(crate) struct ClassEstimates {
     pub(crate) width: Width,
     /// Work of a part.
     pub(crate) work: Work,
     /// The most worth that a query had for its work, in units of work: of a query with one part, its whole worth.
     pub(crate) best_worth: f64,
     /// How long queries took, beyond their forecast.
-    pub(crate) lag: Ms,
+    pub(crate) lag: Millis,
     /// How long the second step took.
-    pub(crate) second: Ms,
-    pub(crate) patience: Patience,
+    pub(crate) second_step: Millis,
+    pub(crate) client_timeout: ClientTimeout,
     pub(crate) probes: Probes,
 }
 
@@ -207,11 +207,12 @@
 
 impl Server {
     /// An attempt there has ended.
-    pub(crate) fn landed(&mut self, flight: &Flight) {
-        self.work_out = (self.work_out - flight.work).max(0.0);
-        let of_it = |(sent, expected): &(Ms, Ms)| *sent == flight.sent && *expected == flight.expected;
-        if let Some(place) = self.flying.iter().position(of_it) {
-            self.flying.remove(place);
+    pub(crate) fn remove_in_flight(&mut self, flight: &InFlight) {
+        self.work_in_flight = (self.work_in_flight - flight.work).max(0.0);
+        let of_it =
+            |(sent, expected): &(Millis, Millis)| *sent == flight.sent && *expected == flight.expected;
+        if let Some(place) = self.in_flight.iter().position(of_it) {
+            self.in_flight.remove(place);
         }
     }
 
@@ -222,7 +223,7 @@
 
     /// Notes work sent now. While it is not known to be cold, that of a SLOTS-th of the window is kept as one, as if sent at
     /// that part's end, so that a busy server takes no more room.
-    pub(crate) fn note_sent(&mut self, now: Ms, work: Ms, window: Ms) {
+    pub(crate) fn note_sent(&mut self, now: Millis, work: Millis, window: Millis) {
         let slot = window.max(1.0) / SLOTS;
         let at = if self.cold_since.is_some() { now } else { (now / slot).ceil() * slot };
         match self.cold_sends.back_mut() {
@@ -237,44 +238,44 @@
             cell: 0,
             state: NodeState::Gone,
             zone: None,
-            work_out: 0.0,
-            flying: Vec::new(),
+            work_in_flight: 0.0,
+            in_flight: Vec::new(),
             pace,
-            heard: f64::NEG_INFINITY,
+            last_response_at: f64::NEG_INFINITY,
             last_served_sent: f64::NEG_INFINITY,
-            answered_at: f64::NEG_INFINITY,
+            last_answer_at: f64::NEG_INFINITY,
             errors: 0.0,
-            failures: 0,
-            of_class: BTreeMap::new(),
-            shun_until: f64::NEG_INFINITY,
+            consecutive_failures: 0,
+            by_class: BTreeMap::new(),
+            ejected_until: f64::NEG_INFINITY,
             full_until: f64::NEG_INFINITY,
             ejection: 0.0,
-            went_silent: false,
+            is_silent: false,
             cold_since: None,
             cold_sends: VecDeque::new(),
-            lot: 1.0,
-            wished: false,
-            bundled: 0,
-            bundled_work: 0.0,
+            cold_draw: 1.0,
+            wanted: false,
+            batch_parts: 0,
+            batch_work: 0.0,
             others: OthersLoad::none(),
         }
     }
 }
 
 /// A seeded source of chance.
-pub(crate) struct Dice(Pcg64Mcg);
+pub(crate) struct Random(Pcg64Mcg);
 
-impl Dice {
+impl Random {
     pub(crate) fn new(seed: u64) -> Self {
-        Dice(Pcg64Mcg::seed_from_u64(seed))
+        Random(Pcg64Mcg::seed_from_u64(seed))
     }
     /// From 0 to below 1.
-    pub(crate) fn random(&mut self) -> f64 {
+    pub(crate) fn unit(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
     /// A whole number below `n`; 0 if `n` is 0.
     pub(crate) fn below(&mut self, n: usize) -> usize {
-        ((self.random() * n as f64) as usize).min(n.saturating_sub(1))
+        ((self.unit() * n as f64) as usize).min(n.saturating_sub(1))
     }
 }
 
@@ -284,7 +285,7 @@
 }
 
 /// Forgets moments before `from`.
-pub(crate) fn trim(times: &mut VecDeque<Ms>, from: Ms) {
+pub(crate) fn remove_before(times: &mut VecDeque<Millis>, from: Millis) {
     while times.front().is_some_and(|t| *t < from) {
         times.pop_front();
     }
