--- a/crates/brookbend/src/view.rs
+++ b/crates/brookbend/src/view.rs
@@ -6,7 +6,7 @@
 use crate::choice::Aggregator;
 use crate::estimates;
 use crate::refusals::Refusals;
-use crate::state::{Flight, Server};
+use crate::state::{InFlight, Server};
 
 /// Most attempts that one report stands for. Health is a matter of shares and of failures in a row: what a thousand
 /// attempts say beyond this is no news, and would drown what others report.
@@ -24,9 +24,9 @@
     /// Its state in the list.
     pub state: NodeState,
     /// Until when it is passed over for its failures, or since it is full.
-    pub ejected_until: Option<Ms>,
+    pub ejected_until: Option<Millis>,
     /// When it started, if it may still be cold.
-    pub cold_since: Option<Ms>,
+    pub cold_since: Option<Millis>,
     /// Time until an answer per work out there, against the fleet's: 1 is usual.
     pub pace: f64,
     /// Share of failures of late.
@@ -35,7 +35,7 @@
 
 /// What others saw at a server over some time, as a load report tells it.
 #[derive(Clone, Debug)]
-pub struct Bulk {
+pub struct OutcomeCounts {
     /// The server.
     pub node: NodeId,
     /// Attempts that were served.
@@ -45,20 +45,20 @@
     /// Attempts that met no connection, or lost it.
     pub lost: u64,
     /// Mean time of those that were served; `None`: not told.
-    pub elapsed: Option<Ms>,
+    pub elapsed: Option<Millis>,
 }
 
 impl Aggregator {
     /// All servers that the list names, by name. Those that are gone are left out.
-    pub fn views(&self, now: Ms) -> Vec<ServerView> {
+    pub fn views(&self, now: Millis) -> Vec<ServerView> {
         let fleet = &self.fleet;
         let view = |s: &Server| ServerView {
             node: s.node.clone(),
             cell: s.cell,
             zone: s.zone,
             state: s.state,
-            ejected_until: (s.shun_until > now).then_some(s.shun_until),
-            cold_since: s.cold_since.filter(|since| since + self.set.cold.warm_after > now),
+            ejected_until: (s.ejected_until > now).then_some(s.ejected_until),
+            cold_since: s.cold_since.filter(|since| since + self.settings.cold.warm_after > now),
             pace: s.pace.rescaled() / self.fleet_rescaled.max(1e-9),
             errors: s.errors,
         };
@@ -67,11 +67,11 @@
     }
 
     /// How many servers the list names that are not gone, and how many of these are passed over.
-    pub fn census(&self, now: Ms) -> (usize, usize) {
+    pub fn server_counts(&self, now: Millis) -> (usize, usize) {
         let fleet = &self.fleet;
         let servers = fleet.by_name.values().map(|i| &fleet.servers[*i]);
         let named = servers.filter(|s| s.state != NodeState::Gone);
-        named.fold((0, 0), |(all, out), s| (all + 1, out + usize::from(s.shun_until > now)))
+        named.fold((0, 0), |(all, out), s| (all + 1, out + usize::from(s.ejected_until > now)))
     }
 
     /// Whether the list names a server. It looks no further than to the first: unlike [`Aggregator::views`] it costs nothing
@@ -92,7 +92,7 @@
 
     /// Takes what others saw since the last report, as a few attempts in the same proportion: failures first, so that the
     /// answers beside them tell of a server that is up.
-    pub fn report_bulk(&mut self, now: Ms, class: ClassIndex, reports: &[Bulk]) {
+    pub fn report_outcomes(&mut self, now: Millis, class: ClassIndex, reports: &[OutcomeCounts]) {
         let Some(learned) = self.learned.get(class.0) else { return };
         let (work, scale) = (learned.work.unit().max(1.0), learned.work.scale());
         self.now = now;
@@ -107,19 +107,19 @@
                 for _ in 0..of(n) {
                     let elapsed = r.elapsed.unwrap_or(usual);
                     let sent = now - elapsed.min(usual);
-                    let flight = Flight {
+                    let flight = InFlight {
                         server,
                         class: class.0,
                         work: 0.0,
-                        ahead: work,
+                        queued: work,
                         scale,
                         sent,
-                        busy: self.own.busy,
+                        busy: self.overhead.busy,
                         connected: None,
                         forecast: usual,
                         expected: usual,
                     };
-                    self.landed(&flight, outcome, elapsed);
+                    self.record_outcome(&flight, outcome, elapsed);
                 }
             }
         }
@@ -150,21 +150,26 @@
             zone: None,
             over_share_worth: 1.0,
             worth_by_work: false,
-            marks_again: false,
+            clients_mark_retries: false,
             cells: 2,
             reach: 1,
             shards: 2,
             batch: 4,
             call_work: 1.0,
             max_attempts: 4,
-            second_copies: false,
+            hedging: false,
             cancel: true,
             max_retry_after: None,
             tick: 5.0,
             list: ListSource::Pushed,
-            ask_within: 10_000.0,
+            list_deadline: 10_000.0,
             budget: None,
-            cold: ColdRule { from: 0.2, warm_after: 10_000.0, fall_multiple: 2.5, fall_after: 1000.0 },
+            cold: ColdRule {
+                initial_capacity: 0.2,
+                warm_after: 10_000.0,
+                overload_factor: 2.5,
+                overload_time: 1000.0,
+            },
         };
         let mut aggregator = Aggregator::new(settings, 7);
         let member = |n: usize, state, started| Member {
@@ -184,8 +189,8 @@
         aggregator
     }
 
-    fn bulk(n: usize, served: u64, errors: u64, lost: u64) -> Bulk {
-        Bulk { node: NodeId(format!("s{n}").into()), served, errors, lost, elapsed: Some(10.0) }
+    fn bulk(n: usize, served: u64, errors: u64, lost: u64) -> OutcomeCounts {
+        OutcomeCounts { node: NodeId(format!("s{n}").into()), served, errors, lost, elapsed: Some(10.0) }
     }
 
     #[test]
@@ -200,20 +205,24 @@
         ];
         assert_eq!(seen, expected);
         assert_eq!(aggregator.views(10_100.0)[1].cold_since, None, "it is warm by now");
-        assert_eq!(aggregator.census(200.0), (3, 0));
+        assert_eq!(aggregator.server_counts(200.0), (3, 0));
     }
 
     #[test]
     fn what_others_saw_ejects_a_server_as_own_attempts_would_and_its_recovery_shows() {
         let mut aggregator = aggregator();
         let class = ClassIndex(0);
-        aggregator.report_bulk(1000.0, class, &[bulk(0, 0, 500, 0), bulk(1, 500, 1, 0), bulk(9, 0, 5, 0)]);
+        aggregator.report_outcomes(
+            1000.0,
+            class,
+            &[bulk(0, 0, 500, 0), bulk(1, 500, 1, 0), bulk(9, 0, 5, 0)],
+        );
         let views = aggregator.views(1001.0);
         assert!(views[0].ejected_until.is_some() && views[1].ejected_until.is_none(), "{views:?}");
         assert!(views[0].errors > 0.4 && views[1].errors < 0.2, "{views:?}");
-        assert_eq!(aggregator.census(1001.0), (3, 1));
-        aggregator.report_bulk(9000.0, class, &[bulk(0, 500, 0, 0)]);
+        assert_eq!(aggregator.server_counts(1001.0), (3, 1));
+        aggregator.report_outcomes(9000.0, class, &[bulk(0, 500, 0, 0)]);
         assert!(aggregator.views(9001.0)[0].errors < 0.2);
-        aggregator.report_bulk(9002.0, ClassIndex(7), &[bulk(0, 1, 1, 1)]);
+        aggregator.report_outcomes(9002.0, ClassIndex(7), &[bulk(0, 1, 1, 1)]);
     }
 }
--- a/crates/brookbend/tests/cold_sum.rs
+++ b/crates/brookbend/tests/cold_sum.rs
@@ -17,8 +17,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Site {
     /// Work of a part, and of the call that carries it.
-    part: Ms,
-    call: Ms,
+    part: Millis,
+    call: Millis,
     batch: usize,
     /// Servers of a cell, the cold one included.
     replicas: usize,
@@ -31,11 +31,11 @@
     /// All aggregators have run for a while, and hear of it at once.
     Heard,
     /// They hear of it over so many milliseconds after the start, and send as before until then.
-    Spread(Ms),
+    Spread(Millis),
     /// All aggregators start with it.
     Fresh,
     /// They start over so many milliseconds after it.
-    Restarted(Ms),
+    Restarted(Millis),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -61,22 +61,22 @@
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
     /// Until the next of events at this rate a millisecond.
-    fn wait(&mut self, rate: f64) -> Ms {
+    fn wait(&mut self, rate: f64) -> Millis {
         -(1.0 - self.random()).ln() / rate
     }
 }
 
 /// An attempt that came to the cold server: when after its start, whether its sender had been told, and its work.
-type Came = (Ms, bool, Ms);
+type Came = (Millis, bool, Millis);
 
 impl Play {
-    fn request(&self) -> Ms {
+    fn request(&self) -> Millis {
         self.site.part + self.site.call
     }
 
-    fn capacity(&self, age: Ms) -> f64 {
+    fn capacity(&self, age: Millis) -> f64 {
         let rule = self.site.rule;
-        rule.from + (1.0 - rule.from) * (age / rule.warm_after).clamp(0.0, 1.0)
+        rule.initial_capacity + (1.0 - rule.initial_capacity) * (age / rule.warm_after).clamp(0.0, 1.0)
     }
 
     /// What the cold server was sent.
@@ -96,7 +96,7 @@
             batch: site.batch,
             call_work: site.call,
             cold: rule,
-            second_copies: false,
+            hedging: false,
             ..ring()
         };
         let mut chance =
@@ -130,7 +130,7 @@
         if start > 0.0 {
             s.step(1000.0 * chance.random(), vec![]);
         }
-        let mut out: Vec<(Ms, String, u32, bool)> = Vec::new();
+        let mut out: Vec<(Millis, String, u32, bool)> = Vec::new();
         let mut tries: BTreeMap<String, u32> = BTreeMap::new();
         let mut came = Vec::new();
         let mut next = s.now + chance.wait(rate);
@@ -185,7 +185,7 @@
     /// those that had been told, where that is less, since the rule is broken where they sent over two thirds. What the
     /// server can do counts as it is when the window begins.
     fn worst(&self, came: &[Came]) -> f64 {
-        let fall = self.site.rule.fall_after;
+        let fall = self.site.rule.overload_time;
         let mut from = 0;
         let mut worst: f64 = 0.0;
         let (mut all, mut told) = (0.0, 0.0);
@@ -198,7 +198,7 @@
                 from += 1;
             }
             let can = self.capacity(at - fall);
-            let n = self.site.rule.fall_multiple * can * fall / self.request();
+            let n = self.site.rule.overload_factor * can * fall / self.request();
             worst = worst.max(f64::min(all, 1.5 * told) / self.request() / (n + 2.0 * n.sqrt() + 2.0));
         }
         worst
@@ -212,8 +212,8 @@
     }
 }
 
-fn rule(from: f64, warm_after: Ms, fall_multiple: f64, fall_after: Ms) -> ColdRule {
-    ColdRule { from, warm_after, fall_multiple, fall_after }
+fn rule(from: f64, warm_after: Millis, overload_factor: f64, overload_time: Millis) -> ColdRule {
+    ColdRule { initial_capacity: from, warm_after, overload_factor, overload_time }
 }
 
 /// A process that has just started knows no part's work; a call's tells little of it, where it is far less as where it is
--- a/crates/brookbend/tests/cold_turns.rs
+++ b/crates/brookbend/tests/cold_turns.rs
@@ -12,14 +12,15 @@
 
 /// Parts a second over all aggregators: this share of what the cell's servers of one core each can do.
 const LOAD: f64 = 0.75;
-const RULE: ColdRule = ColdRule { from: 0.18, warm_after: 16_000.0, fall_multiple: 2.5, fall_after: 1000.0 };
+const RULE: ColdRule =
+    ColdRule { initial_capacity: 0.18, warm_after: 16_000.0, overload_factor: 2.5, overload_time: 1000.0 };
 
 /// A deployment, as far as it matters here.
 #[derive(Clone, Copy, Debug)]
 struct Site {
     /// Work of a part, and of the call that carries it.
-    part: Ms,
-    call: Ms,
+    part: Millis,
+    call: Millis,
     batch: usize,
     /// Servers of a cell, the cold one included.
     replicas: usize,
@@ -37,7 +38,12 @@
         batch: 8,
         replicas: 4,
         copies: true,
-        rule: ColdRule { from: 0.21, warm_after: 17_000.0, fall_multiple: 3.0, fall_after: 1000.0 },
+        rule: ColdRule {
+            initial_capacity: 0.21,
+            warm_after: 17_000.0,
+            overload_factor: 3.0,
+            overload_time: 1000.0,
+        },
     },
 ];
 
@@ -47,12 +53,13 @@
     }
 
     /// An answer of a warm server takes this long: it is lightly loaded.
-    fn answer(&self) -> Ms {
+    fn answer(&self) -> Millis {
         self.part + self.call + 10.0
     }
 
-    fn capacity(&self, age: Ms) -> f64 {
-        self.rule.from + (1.0 - self.rule.from) * (age / self.rule.warm_after).min(1.0)
+    fn capacity(&self, age: Millis) -> f64 {
+        self.rule.initial_capacity
+            + (1.0 - self.rule.initial_capacity) * (age / self.rule.warm_after).min(1.0)
     }
 }
 
@@ -63,7 +70,7 @@
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
     /// Until the next of events at this rate a millisecond.
-    fn wait(&mut self, rate: f64) -> Ms {
+    fn wait(&mut self, rate: f64) -> Millis {
         -(1.0 - self.random()).ln() / rate
     }
 }
@@ -79,7 +86,7 @@
     surge: f64,
     alone: bool,
     in_part: bool,
-) -> Vec<Ms> {
+) -> Vec<Millis> {
     let rule = site.rule;
     let set = Settings {
         aggregators,
@@ -90,7 +97,7 @@
         batch: site.batch,
         call_work: site.call,
         cold: rule,
-        second_copies: site.copies,
+        hedging: site.copies,
         ..ring()
     };
     let warm: Vec<String> = (1..site.replicas).map(|n| format!("b{n}")).collect();
@@ -108,7 +115,7 @@
         // Aggregators began at moments of their own.
         s.step(1000.0 * chance.random(), vec![]);
         let start = 20_000.0;
-        let mut out: Vec<(Ms, String, u32)> = Vec::new();
+        let mut out: Vec<(Millis, String, u32)> = Vec::new();
         let mut tries: BTreeMap<String, u32> = BTreeMap::new();
         let mut next = s.now + chance.wait(rate);
         let mut told = false;
@@ -160,30 +167,30 @@
 }
 
 /// The largest share of the rule's limit that a window reached.
-fn worst_window(site: Site, times: &[Ms]) -> f64 {
-    let window = |(last, at): (usize, &Ms)| {
-        let from = times.partition_point(|t| *t <= at - site.rule.fall_after);
+fn worst_window(site: Site, times: &[Millis]) -> f64 {
+    let window = |(last, at): (usize, &Millis)| {
+        let from = times.partition_point(|t| *t <= at - site.rule.overload_time);
         let work = (last + 1 - from) as f64 * site.part;
-        let can = (site.capacity((at - site.rule.fall_after).max(0.0)) + site.capacity(*at)) / 2.0;
-        work / (site.rule.fall_multiple * can * site.rule.fall_after)
+        let can = (site.capacity((at - site.rule.overload_time).max(0.0)) + site.capacity(*at)) / 2.0;
+        work / (site.rule.overload_factor * can * site.rule.overload_time)
     };
     times.iter().enumerate().map(window).fold(0.0, f64::max)
 }
 
 /// The same against what is left to chance: where the settings allow N requests of mean work in a window, a cold server
 /// falls at more than N + 3 sqrt(N) + 3. Counted from what it could do when the window began.
-fn worst_count(site: Site, times: &[Ms]) -> f64 {
-    let window = |(last, at): (usize, &Ms)| {
-        let from = times.partition_point(|t| *t <= at - site.rule.fall_after);
-        let can = site.capacity((at - site.rule.fall_after).max(0.0));
-        let n = site.rule.fall_multiple * can * site.rule.fall_after / (site.part + site.call);
+fn worst_count(site: Site, times: &[Millis]) -> f64 {
+    let window = |(last, at): (usize, &Millis)| {
+        let from = times.partition_point(|t| *t <= at - site.rule.overload_time);
+        let can = site.capacity((at - site.rule.overload_time).max(0.0));
+        let n = site.rule.overload_factor * can * site.rule.overload_time / (site.part + site.call);
         (last + 1 - from) as f64 / (n + 3.0 * n.sqrt() + 3.0)
     };
     times.iter().enumerate().map(window).fold(0.0, f64::max)
 }
 
 /// Work, calls included, sent in the first half of the cold time, in what the server can do then.
-fn filled(site: Site, times: &[Ms]) -> f64 {
+fn filled(site: Site, times: &[Millis]) -> f64 {
     let half = site.rule.warm_after / 2.0;
     let work = times.iter().filter(|t| **t < half).count() as f64 * (site.part + site.call);
     work / (half * (site.capacity(0.0) + site.capacity(half)) / 2.0)
@@ -245,7 +252,7 @@
         // Parts that waited for room go out now, and are answered too.
         out = sends(&s.step(195.0, ends));
     }
-    let rate = s.a.recall(s.now).served_rate;
+    let rate = s.a.snapshot(s.now).served_rate;
     assert!(
         answered > 20 && rate < 0.1,
         "{answered} answers of the cold one count as {rate} cores of a warm one"
--- a/crates/brookbend/tests/common/mod.rs
+++ b/crates/brookbend/tests/common/mod.rs
@@ -27,21 +27,26 @@
         zone: None,
         over_share_worth: 0.2,
         worth_by_work: false,
-        marks_again: false,
+        clients_mark_retries: false,
         cells: 6,
         reach: 3,
         shards: 12,
         batch: 8,
         call_work: 20.0,
         max_attempts: 3,
-        second_copies: true,
+        hedging: true,
         cancel: true,
         max_retry_after: Some(50.0),
         tick: 5.0,
         list: ListSource::Pushed,
-        ask_within: 10_000.0,
+        list_deadline: 10_000.0,
         budget: None,
-        cold: ColdRule { from: 0.2, warm_after: 10_000.0, fall_multiple: 2.0, fall_after: 2000.0 },
+        cold: ColdRule {
+            initial_capacity: 0.2,
+            warm_after: 10_000.0,
+            overload_factor: 2.0,
+            overload_time: 2000.0,
+        },
     }
 }
 
@@ -64,8 +69,8 @@
 
 pub struct Stand {
     pub a: Aggregator,
-    pub now: Ms,
-    wake_at: Ms,
+    pub now: Millis,
+    wake_at: Millis,
     group: u64,
 }
 
@@ -81,7 +86,7 @@
     }
 
     /// A batch with these events, `after` from the last, and one at each time in between that was asked for.
-    pub fn step(&mut self, after: Ms, events: Vec<Event>) -> Vec<Action> {
+    pub fn step(&mut self, after: Millis, events: Vec<Event>) -> Vec<Action> {
         let end = self.now + after;
         let mut actions = Vec::new();
         while self.wake_at < end {
@@ -92,7 +97,7 @@
     }
 
     /// One batch, as of an aggregator that stood still since the last.
-    pub fn batch(&mut self, now: Ms, mut events: Vec<Event>) -> Vec<Action> {
+    pub fn batch(&mut self, now: Millis, mut events: Vec<Event>) -> Vec<Action> {
         self.now = now;
         if now >= self.wake_at {
             self.wake_at = f64::INFINITY;
@@ -108,20 +113,20 @@
     }
 
     /// Events of a query named `name` with a part `name.shard` for each shard, of even weight.
-    pub fn query(&mut self, name: &str, class: usize, shards: &[usize], patience: Ms) -> Vec<Event> {
+    pub fn query(&mut self, name: &str, class: usize, shards: &[usize], patience: Millis) -> Vec<Event> {
         self.group += 1;
-        let give_up_at = self.now + 5.0 + patience;
+        let deadline = self.now + 5.0 + patience;
         let (class, tenant) = (ClassIndex(class), TenantIndex(0));
-        let (group, patience_ends, max_attempts) = (self.group, give_up_at, None);
+        let (group, client_deadline, max_attempts) = (self.group, deadline, None);
         let q = Query {
             id: id(name),
             group,
             class,
             tenant,
-            give_up_at,
-            patience_ends,
+            deadline,
+            client_deadline,
             max_attempts,
-            again: false,
+            is_retry: false,
         };
         let mut events = vec![Event::Query(q)];
         let weight = 1.0 / shards.len() as f64;
@@ -162,14 +167,14 @@
     }
 }
 
-pub fn ended(part: &str, attempt: u32, outcome: Outcome, elapsed: Ms) -> Event {
+pub fn ended(part: &str, attempt: u32, outcome: Outcome, elapsed: Millis) -> Event {
     Event::Ended { part: id(part), attempt, outcome, elapsed, load: None }
 }
 
 /// Part, server and time-out of each send.
-pub fn sends(actions: &[Action]) -> Vec<(String, String, Option<Ms>)> {
+pub fn sends(actions: &[Action]) -> Vec<(String, String, Option<Millis>)> {
     let pick = |a: &Action| match a {
-        Action::Send { part, node, within } => Some((part.to_string(), node.0.to_string(), *within)),
+        Action::Send { part, node, timeout: within } => Some((part.to_string(), node.0.to_string(), *within)),
         _ => None,
     };
     actions.iter().filter_map(pick).collect()
--- a/crates/brookbend/tests/common/play.rs
+++ b/crates/brookbend/tests/common/play.rs
@@ -2,38 +2,38 @@
 //! of classes; lists, new settings, clients that leave, pauses. A day is a matter of its seed and its plan alone.
 #![allow(dead_code)]
 
-use brookbend::Begun;
+use brookbend::NewClass;
 use brookbend::api::*;
-use brookbend::view::Bulk;
+use brookbend::view::OutcomeCounts;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::collections::BTreeMap;
 
 /// What takes the events of a day.
 pub trait Decides {
-    fn on_batch(&mut self, now: Ms, events: Vec<Event>) -> Vec<Action>;
-    fn retune(&mut self, set: Settings, begun: &[Begun]);
-    fn end_by(&mut self, at: Ms);
-    fn report_bulk(&mut self, now: Ms, class: ClassIndex, reports: &[Bulk]);
+    fn on_batch(&mut self, now: Millis, events: Vec<Event>) -> Vec<Action>;
+    fn reconfigure(&mut self, set: Settings, new_classes: &[NewClass]);
+    fn end_by(&mut self, at: Millis);
+    fn report_outcomes(&mut self, now: Millis, class: ClassIndex, reports: &[OutcomeCounts]);
     /// All that shows of what it knows.
-    fn state(&self, now: Ms) -> String;
+    fn state(&self, now: Millis) -> String;
 }
 
 impl Decides for brookbend::Aggregator {
-    fn on_batch(&mut self, now: Ms, events: Vec<Event>) -> Vec<Action> {
+    fn on_batch(&mut self, now: Millis, events: Vec<Event>) -> Vec<Action> {
         self.on_batch(now, events)
     }
-    fn retune(&mut self, set: Settings, begun: &[Begun]) {
-        self.retune(set, begun);
+    fn reconfigure(&mut self, set: Settings, new_classes: &[NewClass]) {
+        self.reconfigure(set, new_classes);
     }
-    fn end_by(&mut self, at: Ms) {
-        self.end_by(at);
+    fn end_by(&mut self, at: Millis) {
+        self.cap_deadlines(at);
     }
-    fn report_bulk(&mut self, now: Ms, class: ClassIndex, reports: &[Bulk]) {
-        self.report_bulk(now, class, reports);
+    fn report_outcomes(&mut self, now: Millis, class: ClassIndex, reports: &[OutcomeCounts]) {
+        self.report_outcomes(now, class, reports);
     }
-    fn state(&self, now: Ms) -> String {
-        serde_json::to_string(&self.recall(now)).unwrap() + &format!("{:?}", self.views(now))
+    fn state(&self, now: Millis) -> String {
+        serde_json::to_string(&self.snapshot(now)).unwrap() + &format!("{:?}", self.views(now))
     }
 }
 
@@ -51,7 +51,7 @@
     pub queries: f64,
     /// Share of attempts that end other than well.
     pub faults: f64,
-    pub second_copies: bool,
+    pub hedging: bool,
     pub cancel: bool,
     pub budget: bool,
     pub named: bool,
@@ -94,7 +94,7 @@
 
 struct Open {
     id: RequestId,
-    give_up_at: Ms,
+    deadline: Millis,
     group: u64,
     parts: usize,
     two_step: bool,
@@ -104,14 +104,14 @@
 pub struct Day {
     plan: Plan,
     chance: Chance,
-    pub now: Ms,
+    pub now: Millis,
     set: Settings,
     nodes: Vec<Node>,
     open: Vec<Open>,
     /// Attempts that are out, by when they end.
-    out: Vec<(Ms, RequestId, u32, Outcome, Ms)>,
+    out: Vec<(Millis, RequestId, u32, Outcome, Millis)>,
     sent: BTreeMap<RequestId, u32>,
-    wake_at: Ms,
+    wake_at: Millis,
     next: u64,
     events: Vec<Event>,
     /// Actions so far.
@@ -149,7 +149,7 @@
 }
 
 pub fn settings(plan: &Plan) -> Settings {
-    let budget = AttemptBudget { spare: 5.0, per_request: 0.2, span: 150.0 };
+    let budget = AttemptBudget { free_attempts: 5.0, per_request: 0.2, window: 150.0 };
     Settings {
         classes: classes(),
         tenants: vec![Tenant { quota_per_s: 50.0 }, Tenant { quota_per_s: 500.0 }],
@@ -157,21 +157,26 @@
         zone: Some(0),
         over_share_worth: 0.2,
         worth_by_work: plan.seed.is_multiple_of(2),
-        marks_again: plan.seed.is_multiple_of(3),
+        clients_mark_retries: plan.seed.is_multiple_of(3),
         cells: plan.cells,
         reach: plan.reach,
         shards: plan.cells * 2,
         batch: 4,
         call_work: 2.0,
         max_attempts: 2 + (plan.seed % 4) as u32,
-        second_copies: plan.second_copies,
+        hedging: plan.hedging,
         cancel: plan.cancel,
         max_retry_after: Some(50.0),
         tick: 5.0,
         list: if plan.seed.is_multiple_of(5) { ListSource::OnRequest } else { ListSource::Pushed },
-        ask_within: 1000.0,
+        list_deadline: 1000.0,
         budget: plan.budget.then_some(budget),
-        cold: ColdRule { from: 0.2, warm_after: 1500.0, fall_multiple: 2.0, fall_after: 300.0 },
+        cold: ColdRule {
+            initial_capacity: 0.2,
+            warm_after: 1500.0,
+            overload_factor: 2.0,
+            overload_time: 300.0,
+        },
     }
 }
 
@@ -251,7 +256,7 @@
         let give_up = self.set.classes[class].give_up;
         let again = self.chance.is(0.1);
         let patience = if again { give_up * self.chance.within(0.3, 0.9) } else { give_up };
-        let give_up_at = self.now + if self.chance.is(0.1) { patience * 0.5 } else { patience };
+        let deadline = self.now + if self.chance.is(0.1) { patience * 0.5 } else { patience };
         let max_attempts = if self.chance.is(0.1) { Some(self.chance.below(4) as u32) } else { None };
         let tenant = TenantIndex(self.chance.below(3));
         self.events.push(Event::Query(Query {
@@ -259,15 +264,15 @@
             group,
             class: ClassIndex(class),
             tenant,
-            give_up_at,
-            patience_ends: self.now + patience,
+            deadline,
+            client_deadline: self.now + patience,
             max_attempts,
-            again,
+            is_retry: again,
         }));
         let now = if self.chance.is(0.03) { parts / 2 } else { parts };
         self.parts(group, 0, now);
         let two_step = self.set.classes[class].second_step;
-        self.open.push(Open { id, give_up_at, group, parts: now, two_step });
+        self.open.push(Open { id, deadline, group, parts: now, two_step });
     }
 
     fn moods(&mut self) {
@@ -320,9 +325,9 @@
     }
 
     fn retuned(&mut self, who: &mut [&mut dyn Decides]) {
-        let mut begun = Vec::new();
+        let mut new_classes = Vec::new();
         match self.chance.below(7) {
-            0 => self.set.second_copies ^= true,
+            0 => self.set.hedging ^= true,
             1 => self.set.cancel ^= true,
             2 => self.set.max_attempts = 1 + self.chance.below(5) as u32,
             3 => self.set.reach = 1 + self.chance.below(self.plan.cells),
@@ -335,18 +340,22 @@
                 let of = self.chance.below(self.set.classes.len());
                 self.set.classes.push(self.set.classes[of].clone());
                 let class = ClassIndex(self.set.classes.len() - 1);
-                begun.push(Begun { class, heir_of: Some(ClassIndex(of)) });
+                new_classes.push(NewClass { class, inherits_from: Some(ClassIndex(of)) });
             }
             _ => {
                 let span = self.chance.within(50.0, 400.0);
-                self.set.budget = Some(AttemptBudget { spare: 3.0, per_request: self.chance.random(), span });
+                self.set.budget = Some(AttemptBudget {
+                    free_attempts: 3.0,
+                    per_request: self.chance.random(),
+                    window: span,
+                });
             }
         }
-        who.iter_mut().for_each(|d| d.retune(self.set.clone(), &begun));
+        who.iter_mut().for_each(|d| d.reconfigure(self.set.clone(), &new_classes));
     }
 
     /// How an attempt at a server will end, and after how long.
-    fn fate(&mut self, node: &NodeId, within: Option<Ms>, give_up: Ms) -> (Outcome, Ms) {
+    fn fate(&mut self, node: &NodeId, within: Option<Millis>, give_up: Millis) -> (Outcome, Millis) {
         let usual = self.chance.within(2.0, 15.0);
         let mood = self.nodes.iter().find(|n| n.member.node == *node).map_or(Mood::Dead, |n| n.mood);
         let slow = usual + self.chance.within(30.0, 300.0);
@@ -377,7 +386,7 @@
         self.actions += actions.len();
         for action in actions {
             match action {
-                Action::Send { part, node, within } => {
+                Action::Send { part, node, timeout: within } => {
                     let (outcome, after) = self.fate(node, *within, self.now + 400.0);
                     let attempt = self.sent.entry(part.clone()).or_default();
                     self.out.push((self.now + after, part.clone(), *attempt, outcome, self.now));
@@ -470,21 +479,22 @@
         }
         if self.chance.is(0.02) && !self.open.is_empty() {
             let gone = self.open.remove(self.chance.below(self.open.len()));
-            self.events.push(Event::Gone(gone.id));
+            self.events.push(Event::ClientGone(gone.id));
         }
         if self.chance.is(0.01) {
             self.retuned(who);
         }
         if self.chance.is(0.003) {
             let at = self.now + self.chance.within(0.0, 100.0);
-            self.open.iter_mut().for_each(|o| o.give_up_at = o.give_up_at.min(at));
+            self.open.iter_mut().for_each(|o| o.deadline = o.deadline.min(at));
             who.iter_mut().for_each(|d| d.end_by(at));
         }
         if self.chance.is(0.01) {
             let node = self.nodes[self.chance.below(self.nodes.len())].member.node.clone();
             let (served, errors, lost) = [(9, 0, 0), (0, 9, 0), (0, 0, 9), (3, 3, 3)][self.chance.below(4)];
-            let bulk = Bulk { node, served, errors, lost, elapsed: Some(8.0) };
-            who.iter_mut().for_each(|d| d.report_bulk(self.now, ClassIndex(0), std::slice::from_ref(&bulk)));
+            let bulk = OutcomeCounts { node, served, errors, lost, elapsed: Some(8.0) };
+            who.iter_mut()
+                .for_each(|d| d.report_outcomes(self.now, ClassIndex(0), std::slice::from_ref(&bulk)));
         }
         self.batch(who)
     }
--- a/crates/brookbend/tests/first_answers.rs
+++ b/crates/brookbend/tests/first_answers.rs
@@ -16,11 +16,11 @@
 use common::{class, member, ring};
 
 /// Each answer takes so long.
-const TAKES: Ms = 35.0;
-const AIM: Ms = 75.0;
+const TAKES: Millis = 35.0;
+const AIM: Millis = 75.0;
 
 /// Nothing happens for so long but the turns that it asked for: else it would seem to have stood still.
-fn rest(a: &mut Aggregator, now: &mut Ms, span: Ms) {
+fn rest(a: &mut Aggregator, now: &mut Millis, span: Millis) {
     let end = *now + span;
     while *now + 1.0 <= end {
         *now += 1.0;
@@ -35,7 +35,7 @@
 }
 
 /// The same with so long between the answer of one and the next.
-fn refused_with_pauses(parts: usize, cells: usize, queries: u64, pause: Ms) -> usize {
+fn refused_with_pauses(parts: usize, cells: usize, queries: u64, pause: Millis) -> usize {
     let set = Settings {
         classes: vec![Class { aim: AIM, give_up: 1000.0, ..class() }],
         aggregators: 1600,
@@ -56,10 +56,10 @@
             group,
             class: ClassIndex(0),
             tenant: TenantIndex(0),
-            give_up_at: now + 1000.0,
-            patience_ends: now + 1000.0,
+            deadline: now + 1000.0,
+            client_deadline: now + 1000.0,
             max_attempts: None,
-            again: false,
+            is_retry: false,
         };
         events.push(Event::Query(query));
         let weight = 1.0 / parts as f64;
@@ -110,6 +110,6 @@
 /// What was learned fades while nothing is heard, so that the same guess is met again.
 #[test]
 fn a_wide_query_after_a_quiet_time_makes_none_look_unservable() {
-    const QUIET: Ms = 20_000.0;
+    const QUIET: Millis = 20_000.0;
     assert_eq!(refused_with_pauses(690, 1400, 8, QUIET), 0);
 }
--- a/crates/brookbend/tests/fleet/mod.rs
+++ b/crates/brookbend/tests/fleet/mod.rs
@@ -24,8 +24,8 @@
 #[derive(Clone, Debug)]
 pub struct Shape {
     /// Work of a part, and of the call that carries it.
-    pub part: Ms,
-    pub call: Ms,
+    pub part: Millis,
+    pub call: Millis,
     pub batch: usize,
     /// Parts that a server works on at once.
     pub cores: usize,
@@ -33,9 +33,9 @@
     pub holders: Vec<usize>,
     /// Parts of a query; one for each cell first.
     pub parts: usize,
-    pub aim: Ms,
+    pub aim: Millis,
     /// On the way to a server and back.
-    pub way: Ms,
+    pub way: Millis,
     /// Share of what all servers can do that is asked of them before the start.
     pub load: f64,
     /// Warm servers in the list that no query wants.
@@ -48,11 +48,11 @@
     /// All have run for a while, and hear of it at once.
     Heard,
     /// They hear of it over so many milliseconds, and send as before until then.
-    Spread(Ms),
+    Spread(Millis),
     /// All start with it.
     Fresh,
     /// They start over so many milliseconds after it.
-    Restarted(Ms),
+    Restarted(Millis),
 }
 
 #[derive(Clone, Debug)]
@@ -74,14 +74,14 @@
     /// Least share of the parts' weight for an answer; 1: all are needed.
     pub floor: f64,
     /// So long before the start aggregators have run, where they have.
-    pub run_in: Ms,
+    pub run_in: Millis,
     /// So long after it the play ends.
-    pub lasts: Ms,
+    pub lasts: Millis,
     pub seed: u64,
 }
 
 /// What came to a cold server: when after its start, whether its sender had been told, and its work.
-pub type Came = (Ms, bool, Ms);
+pub type Came = (Millis, bool, Millis);
 
 /// How queries that came after the start ended.
 #[derive(Clone, Copy, Debug, Default)]
@@ -116,7 +116,7 @@
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
     /// Until the next of events at this rate a millisecond.
-    fn wait(&mut self, rate: f64) -> Ms {
+    fn wait(&mut self, rate: f64) -> Millis {
         -(1.0 - self.random()).ln() / rate
     }
 }
@@ -152,7 +152,7 @@
 /// A moment of the play, in nanoseconds, so that it has an order.
 type Nanos = u64;
 
-fn nanos(at: Ms) -> Nanos {
+fn nanos(at: Millis) -> Nanos {
     (at * 1e6).ceil() as Nanos
 }
 
@@ -191,33 +191,34 @@
     rate: f64,
     told: bool,
     inbox: Vec<Event>,
-    last_turn: Ms,
+    last_turn: Millis,
     turn_at: Nanos,
     wake_at: Nanos,
     asked: u64,
     /// Attempts that are out: when they were sent.
-    out: HashMap<(u64, usize, u32), Ms>,
+    out: HashMap<(u64, usize, u32), Millis>,
     queries: HashMap<u64, Asked>,
 }
 
 struct Asked {
-    at: Ms,
+    at: Millis,
     /// Attempts by part.
     tries: Vec<u32>,
 }
 
 impl Play {
-    fn request(&self) -> Ms {
+    fn request(&self) -> Millis {
         self.shape.part + self.shape.call
     }
 
     /// What a server can do at this age, of what it can once warm.
-    fn capacity(&self, age: Ms) -> f64 {
-        self.rule.from + (1.0 - self.rule.from) * (age / self.rule.warm_after).clamp(0.0, 1.0)
+    fn capacity(&self, age: Millis) -> f64 {
+        self.rule.initial_capacity
+            + (1.0 - self.rule.initial_capacity) * (age / self.rule.warm_after).clamp(0.0, 1.0)
     }
 
     /// When the cold servers start.
-    fn start(&self) -> Ms {
+    fn start(&self) -> Millis {
         if matches!(self.moment, Moment::Heard | Moment::Spread(_)) { self.run_in } else { 0.0 }
     }
 
@@ -239,7 +240,7 @@
             batch: self.shape.batch,
             call_work: self.shape.call,
             cold: self.rule,
-            second_copies: false,
+            hedging: false,
             ..ring()
         }
     }
@@ -252,7 +253,7 @@
     /// settings allow in a window by what the server can do when that begins. Of all that came, or of one and a half times
     /// what came from those that had been told, where that is less: no aggregator can heed what it was not told.
     pub fn worst(&self, came: &[Came]) -> f64 {
-        let fall = self.rule.fall_after;
+        let fall = self.rule.overload_time;
         let (mut from, mut worst) = (0, 0.0f64);
         let (mut all, mut told) = (0.0, 0.0);
         for (at, by_told, work) in came {
@@ -264,7 +265,7 @@
                 from += 1;
             }
             let can = self.capacity(at - fall) * self.shape.cores as f64;
-            let n = self.rule.fall_multiple * can * fall / self.request();
+            let n = self.rule.overload_factor * can * fall / self.request();
             worst = worst.max(f64::min(all, 1.5 * told) / self.request() / (n + 2.0 * n.sqrt() + 2.0));
         }
         worst
@@ -291,8 +292,8 @@
     names: HashMap<NodeId, usize>,
     brokers: Vec<Broker>,
     next: BinaryHeap<Reverse<(Nanos, usize, Next)>>,
-    start: Ms,
-    end: Ms,
+    start: Millis,
+    end: Millis,
     day: Day,
 }
 
@@ -421,7 +422,7 @@
         news
     }
 
-    fn ask_next(&mut self, b: usize, now: Ms) {
+    fn ask_next(&mut self, b: usize, now: Millis) {
         let broker = &mut self.brokers[b];
         let rate = if now >= self.start { broker.rate * self.play.surge } else { broker.rate };
         if rate > 0.0 {
@@ -430,23 +431,23 @@
         }
     }
 
-    fn ask(&mut self, b: usize, now: Ms) {
+    fn ask(&mut self, b: usize, now: Millis) {
         let shape = &self.play.shape;
         let (cells, all) = (shape.holders.len(), shape.holders.len() + usize::from(shape.unasked > 0));
         let broker = &mut self.brokers[b];
         let number = broker.asked;
         broker.asked += 1;
         broker.queries.insert(number, Asked { at: now, tries: vec![0; shape.parts] });
-        let give_up_at = now + 4.0 * shape.aim;
+        let deadline = now + 4.0 * shape.aim;
         let mut events = vec![Event::Query(Query {
             id: query_id(number),
             group: number,
             class: ClassIndex(0),
             tenant: TenantIndex(0),
-            give_up_at,
-            patience_ends: give_up_at,
+            deadline,
+            client_deadline: deadline,
             max_attempts: None,
-            again: false,
+            is_retry: false,
         })];
         let first = (broker.chance.random() * cells as f64) as usize;
         events.extend((0..shape.parts).map(|k| {
@@ -460,7 +461,7 @@
     }
 
     /// Something comes to an aggregator: its next turn is due.
-    fn hear(&mut self, b: usize, now: Ms, event: Event) {
+    fn hear(&mut self, b: usize, now: Millis, event: Event) {
         let broker = &mut self.brokers[b];
         broker.inbox.push(event);
         let at = now.max(broker.last_turn + ring().tick);
@@ -487,7 +488,7 @@
         let mut opened: HashMap<usize, usize> = HashMap::new();
         for action in broker.a.on_batch(now, events) {
             match action {
-                Action::Send { part, node, within } => {
+                Action::Send { part, node, timeout: within } => {
                     let server = self.names[&node];
                     let bundled = opened.entry(server).or_default();
                     let opens = bundled.is_multiple_of(self.play.shape.batch);
@@ -515,10 +516,10 @@
     fn send(
         &mut self,
         b: usize,
-        now: Ms,
+        now: Millis,
         (query, part): (u64, usize),
         server: usize,
-        within: Option<Ms>,
+        within: Option<Millis>,
         opens: bool,
     ) {
         let (play, shape) = (self.play, &self.play.shape);
@@ -549,7 +550,7 @@
                 (done + shape.way, 0)
             }
         };
-        let restarts = |t: Ms| (s.cold.is_some() || s.goes) && !after && t > self.start;
+        let restarts = |t: Millis| (s.cold.is_some() || s.goes) && !after && t > self.start;
         let late = within.map_or(f64::INFINITY, |within| now + within);
         let (at, outcome) = match (restarts(at), late < at) {
             (true, _) if self.start < late => (self.start + 1.0, 4),
@@ -559,7 +560,7 @@
         self.next.push(Reverse((nanos(at), b, Next::Ended { query, part, attempt, outcome })));
     }
 
-    fn end(&mut self, b: usize, now: Ms, query: u64, answered: Option<bool>) {
+    fn end(&mut self, b: usize, now: Millis, query: u64, answered: Option<bool>) {
         let Some(asked) = self.brokers[b].queries.remove(&query) else { return };
         if asked.at < self.start {
             return;
--- a/crates/brookbend/tests/fleet_cold.rs
+++ b/crates/brookbend/tests/fleet_cold.rs
@@ -5,12 +5,12 @@
 mod common;
 mod fleet;
 
-use brookbend::api::{ColdRule, Ms};
+use brookbend::api::{ColdRule, Millis};
 use fleet::*;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-const SECOND: Ms = 1000.0;
+const SECOND: Millis = 1000.0;
 
 /// Parts of tens of milliseconds, one a query: an aggregator has a part for a given server every few minutes.
 fn heavy() -> Shape {
@@ -51,7 +51,12 @@
 }
 
 fn play(shape: Shape, moment: Moment, skew: f64) -> Play {
-    let rule = ColdRule { from: 0.18, warm_after: 16.0 * SECOND, fall_multiple: 2.5, fall_after: SECOND };
+    let rule = ColdRule {
+        initial_capacity: 0.18,
+        warm_after: 16.0 * SECOND,
+        overload_factor: 2.5,
+        overload_time: SECOND,
+    };
     Play {
         cold_cells: shape.holders.len(),
         shape,
--- a/crates/brookbend/tests/fleet_zone.rs
+++ b/crates/brookbend/tests/fleet_zone.rs
@@ -5,10 +5,10 @@
 mod common;
 mod fleet;
 
-use brookbend::api::{ColdRule, Ms};
+use brookbend::api::{ColdRule, Millis};
 use fleet::*;
 
-const SECOND: Ms = 1000.0;
+const SECOND: Millis = 1000.0;
 
 /// Cells of two and of three servers; a query has a part in each cell.
 fn heavy(load: f64) -> Shape {
@@ -33,7 +33,12 @@
 }
 
 fn play(shape: Shape, moment: Moment, floor: f64) -> Play {
-    let rule = ColdRule { from: 0.18, warm_after: 16.0 * SECOND, fall_multiple: 2.5, fall_after: SECOND };
+    let rule = ColdRule {
+        initial_capacity: 0.18,
+        warm_after: 16.0 * SECOND,
+        overload_factor: 2.5,
+        overload_time: SECOND,
+    };
     Play {
         cold_cells: shape.holders.len(),
         // What is rarely wanted takes half a minute to be known as that.
--- a/crates/brookbend/tests/looks.rs
+++ b/crates/brookbend/tests/looks.rs
@@ -5,13 +5,13 @@
 
 use brookbend::Aggregator;
 use brookbend::api::*;
-use brookbend::view::Bulk;
+use brookbend::view::OutcomeCounts;
 use common::*;
 
 /// A fleet of three servers a cell, and what it is asked.
 struct Wide {
     a: Aggregator,
-    now: Ms,
+    now: Millis,
     group: u64,
 }
 
@@ -37,7 +37,7 @@
 
 impl Wide {
     /// A turn so many milliseconds later.
-    fn turn(&mut self, after: Ms, mut events: Vec<Event>) -> Vec<Action> {
+    fn turn(&mut self, after: Millis, mut events: Vec<Event>) -> Vec<Action> {
         self.now += after;
         events.push(Event::Woken);
         self.a.on_batch(self.now, events)
@@ -46,16 +46,16 @@
     fn ask(&mut self, parts: usize) -> Sent {
         self.group += 1;
         let group = self.group;
-        let (give_up_at, weight) = (self.now + 4000.0, 1.0 / parts as f64);
+        let (deadline, weight) = (self.now + 4000.0, 1.0 / parts as f64);
         let mut events = vec![Event::Query(Query {
             id: RequestId::Query(group),
             group,
             class: ClassIndex(0),
             tenant: TenantIndex(0),
-            give_up_at,
-            patience_ends: give_up_at,
+            deadline,
+            client_deadline: deadline,
             max_attempts: None,
-            again: false,
+            is_retry: false,
         })];
         let part = |shard: usize| Part {
             id: RequestId::Part(group, shard as u32),
@@ -76,7 +76,7 @@
     }
 }
 
-fn end(part: &RequestId, attempt: u32, outcome: Outcome, elapsed: Ms) -> Event {
+fn end(part: &RequestId, attempt: u32, outcome: Outcome, elapsed: Millis) -> Event {
     Event::Ended { part: part.clone(), attempt, outcome, elapsed, load: None }
 }
 
@@ -122,10 +122,15 @@
 fn parts_of_servers_that_are_all_behind_grow_evenly() {
     let partial = Class { floor: 0.6, ..class() };
     grows_evenly(|parts| {
-        let mut w = wide(partial.clone(), Settings { second_copies: false, ..ring() });
-        let lost =
-            |n: usize| Bulk { node: node(&format!("n{n:05}")), served: 0, errors: 0, lost: 8, elapsed: None };
-        w.a.report_bulk(1.0, ClassIndex(0), &(0..1200).map(lost).collect::<Vec<_>>());
+        let mut w = wide(partial.clone(), Settings { hedging: false, ..ring() });
+        let lost = |n: usize| OutcomeCounts {
+            node: node(&format!("n{n:05}")),
+            served: 0,
+            errors: 0,
+            lost: 8,
+            elapsed: None,
+        };
+        w.a.report_outcomes(1.0, ClassIndex(0), &(0..1200).map(lost).collect::<Vec<_>>());
         w.looks(|w| {
             let sent = w.ask(parts).len();
             assert!(sent < parts * 7 / 10 && sent > parts / 2, "{sent} of {parts}");
@@ -140,7 +145,7 @@
     for outcome in [Outcome::Full, Outcome::Error, Outcome::ConnectionLost] {
         for share in [0.0, 0.2, 1.0] {
             grows_evenly(|parts| {
-                let budget = AttemptBudget { spare: 0.0, per_request: share, span: 1000.0 };
+                let budget = AttemptBudget { free_attempts: 0.0, per_request: share, window: 1000.0 };
                 let mut w = wide(class(), Settings { budget: Some(budget), max_attempts: 3, ..ring() });
                 w.looks(|w| {
                     for (n, (part, _)) in w.ask(parts).into_iter().enumerate() {
@@ -167,7 +172,7 @@
 /// Further attempts are used up: one look tells that for all.
 #[test]
 fn late_parts_without_a_budget_are_not_gone_through() {
-    let budget = AttemptBudget { spare: 0.0, per_request: 0.0, span: 1000.0 };
+    let budget = AttemptBudget { free_attempts: 0.0, per_request: 0.0, window: 1000.0 };
     let mut w = wide(class(), Settings { budget: Some(budget), ..ring() });
     assert_eq!(w.ask(400).len(), 400);
     w.turn(600.0, vec![]);
--- a/crates/brookbend/tests/lost_alone.rs
+++ b/crates/brookbend/tests/lost_alone.rs
@@ -8,7 +8,7 @@
 /// Four cells of two servers, all of which take more of the aim for an answer than what is merely slow is
 /// called off for.
 fn slow_fleet() -> Stand {
-    let set = Settings { cells: 4, reach: 1, shards: 4, second_copies: false, ..ring() };
+    let set = Settings { cells: 4, reach: 1, shards: 4, hedging: false, ..ring() };
     let mut s = Stand::new(set, 2);
     for k in 0..160 {
         let parts = sends(&s.ask(&format!("before{k}"), &[k % 4]));
--- a/crates/brookbend/tests/module.rs
+++ b/crates/brookbend/tests/module.rs
@@ -176,7 +176,7 @@
 /// time the overdue one is called off first, and only what that proves lets another go.
 #[test]
 fn an_overdue_part_is_called_off_and_sent_elsewhere_where_no_copy_is_allowed() {
-    let mut s = Stand::new(Settings { second_copies: false, ..ring() }, 1);
+    let mut s = Stand::new(Settings { hedging: false, ..ring() }, 1);
     let first = sends(&s.ask("q", &[0]));
     let cancel = Action::Cancel { part: id("q.0"), attempt: 0 };
     let late = (0..60).map(|_| s.step(10.0, vec![])).find(|actions| actions.contains(&cancel)).unwrap();
@@ -190,7 +190,7 @@
 /// On a calm day an answer that takes somewhat longer than forecast is on its way: to call it off wastes its work.
 #[test]
 fn what_is_merely_slow_is_not_called_off() {
-    let mut s = Stand::new(Settings { second_copies: false, ..ring() }, 1);
+    let mut s = Stand::new(Settings { hedging: false, ..ring() }, 1);
     // Three holders, three parts each: the last waits behind two others, and then sees all holders idle.
     let parts: Vec<_> = (0..9).flat_map(|n| sends(&s.ask(&format!("t{n}"), &[0]))).collect();
     let ends = parts[..8].iter().map(|(part, _, _)| ended(part, 0, Outcome::Served, 100.0)).collect();
@@ -228,7 +228,7 @@
 
 #[test]
 fn no_second_copy_where_none_is_allowed() {
-    let mut s = Stand::new(Settings { second_copies: false, cancel: false, ..ring() }, 1);
+    let mut s = Stand::new(Settings { hedging: false, cancel: false, ..ring() }, 1);
     s.ask("q", &[0]);
     for _ in 0..60 {
         assert!(sends(&s.step(10.0, vec![])).is_empty());
@@ -252,9 +252,9 @@
 
 #[test]
 fn rule_budget_is_kept_in_every_window() {
-    let budget = AttemptBudget { spare: 2.0, per_request: 0.1, span: 1000.0 };
+    let budget = AttemptBudget { free_attempts: 2.0, per_request: 0.1, window: 1000.0 };
     let mut s = Stand::new(Settings { budget: Some(budget), ..ring() }, 1);
-    let (mut taken, mut extras): (Vec<Ms>, Vec<Ms>) = (Vec::new(), Vec::new());
+    let (mut taken, mut extras): (Vec<Millis>, Vec<Millis>) = (Vec::new(), Vec::new());
     let mut tries = std::collections::BTreeMap::<String, u32>::new();
     for k in 0..400 {
         let actions = if k % 4 == 0 {
@@ -293,7 +293,7 @@
         all.extend(finals(&s.step(5.0, vec![])));
     }
     assert_eq!(all, vec![refused("q")]);
-    let late = s.step(20.0, vec![ended("q.0", 0, Outcome::Served, 1500.0), Event::Gone(id("q"))]);
+    let late = s.step(20.0, vec![ended("q.0", 0, Outcome::Served, 1500.0), Event::ClientGone(id("q"))]);
     assert!(finals(&late).is_empty() && sends(&late).is_empty());
 }
 
@@ -316,7 +316,7 @@
 fn rule_keyed_parts_are_repeated_only_inside_their_window() {
     let class = Class { semantics: Semantics::Keyed { window: 300.0 }, ..class() };
     for (wait, expected) in [(100.0, 1), (400.0, 0)] {
-        let set = Settings { classes: vec![class.clone()], second_copies: false, ..ring() };
+        let set = Settings { classes: vec![class.clone()], hedging: false, ..ring() };
         let mut s = Stand::new(set, 1);
         s.ask("q", &[0]);
         assert_eq!(sends(&s.step(wait, vec![ended("q.0", 0, Outcome::Error, wait)])).len(), expected);
@@ -403,7 +403,7 @@
 #[test]
 fn time_outs_make_admission_refuse_with_advice() {
     let class = Class { late_worth: 0.0, ..class() };
-    let mut s = Stand::new(Settings { classes: vec![class], second_copies: false, ..ring() }, 1);
+    let mut s = Stand::new(Settings { classes: vec![class], hedging: false, ..ring() }, 1);
     let mut turned_down = 0;
     for k in 0..200 {
         let name = format!("q{k}");
@@ -417,7 +417,7 @@
 }
 
 /// Asks so many single-part queries in a row that are answered at once; they show the usual patience.
-fn usual(s: &mut Stand, n: usize, patience: Ms) {
+fn usual(s: &mut Stand, n: usize, patience: Millis) {
     for k in 0..n {
         let events = s.query(&format!("u{k}-{patience}"), 0, &[0], patience);
         let sent = sends(&s.step(5.0, events));
@@ -426,7 +426,7 @@
 }
 
 /// A query whose attempts all fail at once; says when it came.
-fn unserved(s: &mut Stand, name: &str) -> Ms {
+fn unserved(s: &mut Stand, name: &str) -> Millis {
     let events = s.query(name, 0, &[0], 3500.0);
     let mut actions = s.step(5.0, events);
     let came = s.now;
@@ -498,7 +498,7 @@
 
 /// How many of ten one-part queries, 10 apart, the only holder gets after it was silent for so long. Its first answer then
 /// comes over a connection that is up since that moment, if that is told.
-fn sent_after_silence(silence: Ms, connected: Option<Ms>) -> usize {
+fn sent_after_silence(silence: Millis, connected: Option<Millis>) -> usize {
     let mut set = ring();
     (set.cells, set.reach, set.max_attempts) = (1, 1, 1);
     let mut s = Stand::new(set, 1);
@@ -539,7 +539,7 @@
 #[test]
 fn a_part_lost_on_its_own_does_not_mark_its_server() {
     let mut set = ring();
-    (set.cells, set.reach, set.second_copies) = (1, 1, false);
+    (set.cells, set.reach, set.hedging) = (1, 1, false);
     let mut s = Stand::new(set, 2);
     // Both servers keep one part unanswered, and answer all others.
     let mut lost = BTreeSet::new();
@@ -572,7 +572,7 @@
     let mut s = Stand::new(ring(), 1);
     let stray = vec![
         ended("nobody", 7, Outcome::Served, f64::NAN),
-        Event::Gone(id("nobody")),
+        Event::ClientGone(id("nobody")),
         Event::Woken,
         Event::Part(Part {
             id: id("p"),
@@ -628,14 +628,14 @@
 
 /// Work that so many aggregators together send a cold server in one window of the rule, and the rule's room.
 /// Each asks a query in so many milliseconds, and has done so for as long as told before the server starts.
-fn cold_sum(aggregators: usize, every: Ms, before: Ms) -> (f64, f64) {
+fn cold_sum(aggregators: usize, every: Millis, before: Millis) -> (f64, f64) {
     let set = Settings { aggregators, cells: 1, reach: 1, ..ring() };
     let mut work = 0.0;
     for seed in 0..aggregators {
         let mut s = Stand::new(set.clone(), 0);
         s.a = Aggregator::new(set.clone(), seed as u64 * 7919 + 1);
         s.step(5.0, vec![Event::List { kind: ListKind::Complete, members: vec![member("warm", 0)] }]);
-        let mut ask_for = |s: &mut Stand, span: Ms| {
+        let mut ask_for = |s: &mut Stand, span: Millis| {
             let end = s.now + span;
             s.step(every * seed as f64 / aggregators as f64, vec![]);
             while s.now < end {
@@ -725,7 +725,7 @@
         let sent = sends(&s.ask(&format!("q{k}"), &[0]));
         let sick = sent[0].1 == "c1n0";
         if sick {
-            gaps.extend(last.map(|t: Ms| s.now - t));
+            gaps.extend(last.map(|t: Millis| s.now - t));
             last = Some(s.now);
         }
         let outcome = if sick { Outcome::NoConnection } else { Outcome::Served };
@@ -765,7 +765,7 @@
 // ---- refusals and their advice
 
 /// The advice on a query of this class that no server can take, with so much of its time gone already.
-fn advice(class: Class, most: Ms) -> Option<Ms> {
+fn advice(class: Class, most: Millis) -> Option<Millis> {
     let mut s = Stand::new(Settings { classes: vec![class], max_retry_after: Some(most), ..ring() }, 0);
     match finals(&s.ask("q", &[0])).as_slice() {
         [Action::Refuse { retry_after, .. }] => *retry_after,
@@ -784,7 +784,7 @@
 #[test]
 fn keyed_queries_are_refused_with_advice_only_inside_their_window() {
     // All attempts may have run; the class's window is long or over by the time a client would be back.
-    let last = |window: Ms| {
+    let last = |window: Millis| {
         let class = Class { semantics: Semantics::Keyed { window }, ..class() };
         let mut s = Stand::new(Settings { classes: vec![class], max_attempts: 1, ..ring() }, 1);
         s.ask("q", &[0]);
@@ -799,7 +799,7 @@
 /// A class with a second step that may be answered from half of its parts.
 fn two_steps() -> Settings {
     let class = Class { second_step: true, floor: 0.5, ..class() };
-    Settings { classes: vec![class], second_copies: false, ..ring() }
+    Settings { classes: vec![class], hedging: false, ..ring() }
 }
 
 fn second_part(name: &str, group: u64) -> Event {
@@ -862,7 +862,7 @@
         let more = s.step(20.0, vec![ended(&sent[0].0, 0, outcome, 20.0)]);
         s.step(0.0, sends(&more).iter().map(|t| ended(&t.0, 1, Outcome::Served, 20.0)).collect());
     }
-    let gaps: Vec<Ms> = met.windows(2).map(|w| w[1] - w[0]).collect();
+    let gaps: Vec<Millis> = met.windows(2).map(|w| w[1] - w[0]).collect();
     assert!(gaps.len() > 3 && gaps[gaps.len() - 1] > 2000.0, "{gaps:?}");
 }
 
@@ -960,7 +960,7 @@
 
 #[test]
 fn a_server_that_fails_one_class_is_left_by_that_class_alone() {
-    let set = Settings { classes: vec![class(), class()], second_copies: false, ..ring() };
+    let set = Settings { classes: vec![class(), class()], hedging: false, ..ring() };
     let mut s = Stand::new(set, 1);
     let sick = "c1n0";
     let mut met = [0, 0];
@@ -1006,7 +1006,7 @@
 /// A server that is passed over gets nothing, so that it looks idle: a query must not be taken for its sake.
 #[test]
 fn a_query_is_refused_while_the_holders_that_it_would_go_to_are_filled() {
-    let mut s = Stand::new(Settings { cells: 1, reach: 1, second_copies: false, ..ring() }, 3);
+    let mut s = Stand::new(Settings { cells: 1, reach: 1, hedging: false, ..ring() }, 3);
     let dead = "c0n0";
     for k in 0..12 {
         let sent = sends(&s.ask(&format!("w{k}"), &[0]));
@@ -1080,7 +1080,7 @@
 /// that met two of those is tried on.
 #[test]
 fn a_connection_lost_beside_answers_is_no_dead_server_and_no_poison() {
-    let mut s = Stand::new(Settings { second_copies: false, ..sets() }, 1);
+    let mut s = Stand::new(Settings { hedging: false, ..sets() }, 1);
     let mut attempts = std::collections::BTreeMap::new();
     for n in 0..40 {
         let beside = sends(&s.ask(&format!("b{n}"), &[0, 1, 2, 3]));
--- a/crates/brookbend/tests/tail.rs
+++ b/crates/brookbend/tests/tail.rs
@@ -19,7 +19,7 @@
 
 const PARTS: usize = 690;
 const CELLS: usize = 400;
-const AIM: Ms = 75.0;
+const AIM: Millis = 75.0;
 
 /// What is slow.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -33,18 +33,18 @@
 #[derive(Default, Debug)]
 struct Told {
     /// Of each query: how long until its final answer, and the share of its parts that it was given from.
-    answered: Vec<(Ms, f64)>,
+    answered: Vec<(Millis, f64)>,
     unserved: usize,
     /// When queries and parts came, and when attempts beyond a part's first went.
-    taken: Vec<Ms>,
-    extras: Vec<Ms>,
+    taken: Vec<Millis>,
+    extras: Vec<Millis>,
     /// Most attempts at a part that were out at once.
     at_once: usize,
 }
 
 impl Told {
-    fn wait(&self, share: f64) -> Ms {
-        let mut waits: Vec<Ms> = self.answered.iter().map(|a| a.0).collect();
+    fn wait(&self, share: f64) -> Millis {
+        let mut waits: Vec<Millis> = self.answered.iter().map(|a| a.0).collect();
         waits.sort_by(f64::total_cmp);
         waits.get((waits.len() as f64 * share) as usize).or(waits.last()).copied().unwrap_or(f64::NAN)
     }
@@ -60,10 +60,12 @@
 
     /// The most by which the further attempts of a window pass what the rule allows in it; none: 0 or less.
     fn over(&self, rule: &AttemptBudget) -> f64 {
-        let within =
-            |of: &[Ms], at: Ms| of.iter().filter(|t| **t > at - rule.span && **t <= at).count() as f64;
-        let over =
-            |at: &Ms| within(&self.extras, *at) - rule.spare - rule.per_request * within(&self.taken, *at);
+        let within = |of: &[Millis], at: Millis| {
+            of.iter().filter(|t| **t > at - rule.window && **t <= at).count() as f64
+        };
+        let over = |at: &Millis| {
+            within(&self.extras, *at) - rule.free_attempts - rule.per_request * within(&self.taken, *at)
+        };
         let moments: BTreeSet<u64> = self.extras.iter().map(|at| at.to_bits()).collect();
         moments.into_iter().map(|at| over(&f64::from_bits(at))).fold(f64::NEG_INFINITY, f64::max)
     }
@@ -71,7 +73,7 @@
 
 /// So many such queries, one in each tenth of a second. `allowed`: second copies, and to call off.
 fn day(what: Slow, class: Class, allowed: (bool, bool), budget: Option<AttemptBudget>, queries: u64) -> Told {
-    let (second_copies, cancel) = allowed;
+    let (hedging, cancel) = allowed;
     let set = Settings {
         classes: vec![Class { aim: AIM, give_up: 300.0, ..class }],
         aggregators: 1600,
@@ -80,7 +82,7 @@
         shards: CELLS,
         call_work: 1.0,
         tick: 1.0,
-        second_copies,
+        hedging,
         cancel,
         budget,
         ..ring()
@@ -93,16 +95,16 @@
     let slow: BTreeSet<NodeId> = (0..CELLS * 3).step_by(101).map(|n| node(&format!("n{n:05}"))).collect();
     let mut chance = Chance::new(9);
     let (mut told, mut now, mut asked) = (Told::default(), 0.0, BTreeMap::new());
-    let mut out: BTreeMap<(RequestId, u32), (Ms, Ms, Outcome)> = BTreeMap::new();
+    let mut out: BTreeMap<(RequestId, u32), (Millis, Millis, Outcome)> = BTreeMap::new();
     let mut sent: BTreeMap<RequestId, u32> = BTreeMap::new();
     let mut served: BTreeMap<u64, BTreeSet<u32>> = BTreeMap::new();
     while now < 100.0 * (queries + 4) as f64 {
         let group = (now / 100.0) as u64 + 1;
         if now % 100.0 == 0.0 && group <= queries {
-            let give_up_at = now + 300.0;
+            let deadline = now + 300.0;
             let (id, class, tenant) = (RequestId::Query(group), ClassIndex(0), TenantIndex(0));
             let max_attempts = None;
-            let patience_ends = give_up_at;
+            let client_deadline = deadline;
             asked.insert(group, now);
             let again = false;
             events.push(Event::Query(Query {
@@ -110,10 +112,10 @@
                 group,
                 class,
                 tenant,
-                give_up_at,
-                patience_ends,
+                deadline,
+                client_deadline,
                 max_attempts,
-                again,
+                is_retry: again,
             }));
             let weight = 1.0 / PARTS as f64;
             for part in 0..PARTS as u32 {
@@ -125,7 +127,7 @@
         events.push(Event::Woken);
         for action in a.on_batch(now, std::mem::take(&mut events)) {
             match action {
-                Action::Send { part, node, within } => {
+                Action::Send { part, node, timeout: within } => {
                     let attempt = sent.entry(part.clone()).or_default();
                     if *attempt > 0 {
                         told.extras.push(now);
@@ -186,12 +188,12 @@
 /// Whatever the budget, further attempts keep within it in each of its windows; and on such a day far below the module's own.
 #[test]
 fn further_attempts_stay_within_the_stated_share() {
-    let own = AttemptBudget { spare: 6.0, per_request: 0.3, span: 1.5 * AIM };
+    let own = AttemptBudget { free_attempts: 6.0, per_request: 0.3, window: 1.5 * AIM };
     let rules = [
         None,
-        Some(AttemptBudget { spare: 0.0, per_request: 0.02, span: 1000.0 }),
-        Some(AttemptBudget { spare: 3.0, per_request: 0.002, span: 250.0 }),
-        Some(AttemptBudget { spare: 0.0, per_request: 0.0, span: 1000.0 }),
+        Some(AttemptBudget { free_attempts: 0.0, per_request: 0.02, window: 1000.0 }),
+        Some(AttemptBudget { free_attempts: 3.0, per_request: 0.002, window: 250.0 }),
+        Some(AttemptBudget { free_attempts: 0.0, per_request: 0.0, window: 1000.0 }),
     ];
     for (what, rule) in [Servers, Attempts].into_iter().flat_map(|what| rules.map(|rule| (what, rule))) {
         for allowed in [(true, true), (true, false), (false, true), (false, false)] {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
 //! The one place where the environment and the configuration file are read, checked and given defaults.
 
 use brookbend::api::{Semantics, Settings};
-use brookbend::settings::{self, Message, Site};
+use brookbend::settings::{self, JsonObject, Site};
 use plover_admission::budget::Given;
 use plover_admission::descriptors::{Limit, Own};
 use plover_model::limits::PoolLimits;
@@ -192,7 +192,7 @@
 /// Checks a configuration. What the environment names goes before the file.
 pub fn check(value: &Value, env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
     let fields = value.as_object().ok_or("RELAY_CONFIG: it is not an object")?;
-    let m = Message::new("RELAY_CONFIG", fields);
+    let m = JsonObject::new("RELAY_CONFIG", fields);
     let text = |variable: &str, field: &str| match env(variable) {
         Some(text) => Ok(text),
         None => m.text(field).map(str::to_owned),
@@ -331,7 +331,7 @@
 const MOST_BROKERS: usize = 1_000_000;
 
 /// Figures that cannot be meant. Each would make the broker fail every query, or none ever.
-fn bounds(m: &Message, site: &Site) -> Result<(), String> {
+fn bounds(m: &JsonObject, site: &Site) -> Result<(), String> {
     let time = |ms: f64| ms > 0.0 && ms <= LONGEST_MS;
     let share = |s: f64| (0.0..=1.0).contains(&s);
     for (class, name) in site.settings.classes.iter().zip(&site.class_names) {
@@ -405,17 +405,17 @@
     let cold = &site.settings.cold;
     let rules = m.inner("Rules")?;
     if let Some(budget) = site.settings.budget {
-        if !time(budget.span) {
+        if !time(budget.window) {
             return rules.bad("RatioSpan", "is out of bounds");
         }
-        if !((0.0..=1e9).contains(&budget.spare) && (0.0..=1e3).contains(&budget.per_request)) {
+        if !((0.0..=1e9).contains(&budget.free_attempts) && (0.0..=1e3).contains(&budget.per_request)) {
             return rules.bad("SpareAttempts", "or ExtraRatio is out of bounds");
         }
     }
-    if !share(cold.from) || !(0.0..=LONGEST_MS).contains(&cold.warm_after) {
+    if !share(cold.initial_capacity) || !(0.0..=LONGEST_MS).contains(&cold.warm_after) {
         return rules.bad("ColdFrom", "or Cold is out of bounds");
     }
-    if !(cold.fall_multiple > 0.0 && cold.fall_multiple < 1e6 && time(cold.fall_after)) {
+    if !(cold.overload_factor > 0.0 && cold.overload_factor < 1e6 && time(cold.overload_time)) {
         return rules.bad("FallMultiple", "or Fall is out of bounds");
     }
     Ok(())
--- a/crates/control/src/roster.rs
+++ b/crates/control/src/roster.rs
@@ -20,7 +20,7 @@
     /// Watches as the configuration says, from its list on.
     pub(crate) fn start(hub: Hub, config: &Config) -> io::Result<Roster> {
         let (address, known, seed) = (config.discovery, config.known.clone(), config.seed);
-        let times = Times::within(millis(config.settings.ask_within));
+        let times = Times::within(millis(config.settings.list_deadline));
         // Without a list that is known, changes of it say little.
         let index = (!known.targets.is_empty()).then_some(known.rev);
         let (stop, stopped) = async_channel::bounded::<()>(1);
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -102,10 +102,10 @@
                 cut_off: options.cut_off,
             },
             cold: cold::Rule {
-                from: settings.cold.from,
+                from: settings.cold.initial_capacity,
                 warm_after: millis(settings.cold.warm_after),
-                multiple: settings.cold.fall_multiple,
-                window: millis(settings.cold.fall_after),
+                multiple: settings.cold.overload_factor,
+                window: millis(settings.cold.overload_time),
                 capacity: f64::from(options.cores) * SECOND as f64,
                 work: options.request_work as f64,
             },
--- a/crates/core/examples/part_cost.rs
+++ b/crates/core/examples/part_cost.rs
@@ -6,7 +6,7 @@
 //! ```
 
 use brookbend::api::{NodeState, Settings};
-use brookbend::settings::{Message, decode};
+use brookbend::settings::{JsonObject, decode};
 use plover_core::{Core, Query, Report};
 use plover_model::query::{AttemptId, PartSpec};
 use plover_model::server::{ListScope, NodeId, Outcome, ServerInfo};
@@ -23,7 +23,7 @@
 
 fn settings(servers: usize) -> Settings {
     let settings: Value = serde_json::from_str(include_str!("../../model/tests/settings.json")).unwrap();
-    let site = decode(&Message::new("settings", settings.as_object().unwrap())).unwrap();
+    let site = decode(&JsonObject::new("settings", settings.as_object().unwrap())).unwrap();
     let mut settings = Settings { cells: servers / REPLICAS, shards: servers / REPLICAS, ..site.settings };
     settings.classes.iter_mut().for_each(|class| (class.aim, class.give_up) = (75.0, 300.0));
     settings
@@ -63,9 +63,9 @@
                 id,
                 class: 0,
                 tenant: 0,
-                give_up_at: now + 300 * MILLI,
+                deadline: now + 300 * MILLI,
                 limits: Arc::default(),
-                again: false,
+                is_retry: false,
                 parts: (0..parts).map(part).collect(),
             });
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -10,14 +10,14 @@
 
 use brookbend::Aggregator;
 use brookbend::api::{Action, ClassIndex, Event, ListKind, Member, Part, RequestId, Settings, TenantIndex};
-use brookbend::own::OwnTime;
+use brookbend::overhead::Overhead;
 use brookbend::refusals::Refusals;
 use brookbend::room::no_room_advice;
-use brookbend::view::{Bulk, ServerView};
+use brookbend::view::{OutcomeCounts, ServerView};
 use places::Places;
 use plover_model::query::{AttemptId, Names, PartSpec, QueryId, QueryLimits};
-use plover_model::recall::Recall;
 use plover_model::server::{ListScope, NodeId, Outcome, ServerInfo, View};
+use plover_model::snapshot::Snapshot;
 use plover_model::time::{MILLI, Micros, millis};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -34,11 +34,11 @@
     /// Index of its tenant.
     pub tenant: usize,
     /// When its client gives up.
-    pub give_up_at: Micros,
+    pub deadline: Micros,
     /// What the operator sets for it.
     pub limits: Arc<QueryLimits>,
     /// Whether its client marked it as a repeat.
-    pub again: bool,
+    pub is_retry: bool,
     /// Its parts.
     pub parts: Vec<PartSpec>,
 }
@@ -132,7 +132,7 @@
     attempt_time_out: Micros,
     /// Attempts dispatched so far, by part: the module numbers them by their order alone.
     attempts: Vec<u32>,
-    give_up_at: Micros,
+    deadline: Micros,
 }
 
 /// The decisions, and what they have in hand.
@@ -205,7 +205,7 @@
 
     /// Goes by other settings, as [`Core::plan`] placed them, for queries that come from now on. What is known of servers
     /// stays. Until `bind` the settings before hold as to attempts, where they allow fewer.
-    pub fn retune(&mut self, placed: &Placed, max_open: usize, bind: Micros) {
+    pub fn reconfigure(&mut self, placed: &Placed, max_open: usize, bind: Micros) {
         // A second change within the time of the first must not end that.
         let before = self.before.filter(|before| placed.at < before.until);
         let (attempts, wait) = (self.settings.max_attempts, self.places.longest_wait());
@@ -218,18 +218,18 @@
         self.rest_at = self.places.rest_at(placed.at);
         self.settings = placed.settings.clone();
         self.max_open = max_open;
-        self.aggregator.retune(self.shared_settings(), &placed.begun);
-        self.aggregator.forget_tenants(&placed.tenants_begun);
+        self.aggregator.reconfigure(self.shared_settings(), &placed.begun);
+        self.aggregator.reset_tenants(&placed.tenants_begun);
     }
 
     /// All queries are over by then, whatever their clients would wait: those in hand, and those that come from now on.
     pub fn answer_by(&mut self, at: Micros) {
         self.answer_by = at;
-        self.aggregator.end_by(to_ms(at));
+        self.aggregator.cap_deadlines(to_ms(at));
         for (was, query) in self.ends.split_off(&(at, QueryId::MAX)) {
             if let Some(open) = self.open.get_mut(&query) {
-                debug_assert_eq!(open.give_up_at, was);
-                open.give_up_at = at;
+                debug_assert_eq!(open.deadline, was);
+                open.deadline = at;
                 self.ends.insert((at, query));
             }
         }
@@ -243,9 +243,9 @@
 
     /// What the broker's own thread needs for a part, and from one turn to the next, as of late; and how long it has been
     /// busy since the start, as the turn begins.
-    pub fn set_own_time(&mut self, part: Duration, turn: Duration, busy: Micros) {
+    pub fn set_overhead(&mut self, part: Duration, turn: Duration, busy: Micros) {
         let ms = |time: Duration| time.as_secs_f64() * 1e3;
-        self.aggregator.set_own_time(OwnTime { part: ms(part), turn: ms(turn), busy: to_ms(busy) });
+        self.aggregator.set_overhead(Overhead { per_part: ms(part), per_turn: ms(turn), busy: to_ms(busy) });
     }
 
     /// The room that queries of other processes of this broker take.
@@ -257,7 +257,7 @@
     pub fn set_copies(&mut self, copies: u32) {
         let copies = copies.max(1) as usize;
         if std::mem::replace(&mut self.copies, copies) != copies {
-            self.aggregator.retune(self.shared_settings(), &[]);
+            self.aggregator.reconfigure(self.shared_settings(), &[]);
         }
     }
 
@@ -267,22 +267,22 @@
     }
 
     /// What is known of servers and classes, for a process that takes over.
-    pub fn recall(&self, now: Micros, rev: u64) -> Recall {
-        let mut recall = self.aggregator.recall(to_ms(now));
-        recall.rev = rev;
-        for (class, name) in recall.classes.iter_mut().zip(self.places.live()) {
+    pub fn snapshot(&self, now: Micros, rev: u64) -> Snapshot {
+        let mut snapshot = self.aggregator.snapshot(to_ms(now));
+        snapshot.rev = rev;
+        for (class, name) in snapshot.classes.iter_mut().zip(self.places.live()) {
             class.name = name;
         }
-        recall
+        snapshot
     }
 
     /// Takes what a process before this one knew, this long ago.
-    pub fn remember(&mut self, now: Micros, age: Micros, recall: &Recall) {
+    pub fn restore(&mut self, now: Micros, age: Micros, snapshot: &Snapshot) {
         let known =
-            |name: String| recall.classes.iter().find(|c| !name.is_empty() && c.name == name).cloned();
+            |name: String| snapshot.classes.iter().find(|c| !name.is_empty() && c.name == name).cloned();
         let classes = self.places.live().into_iter().map(|name| known(name).unwrap_or_default()).collect();
-        let recall = Recall { classes, ..recall.clone() };
-        self.aggregator.remember(to_ms(now), to_ms(age), &recall);
+        let snapshot = Snapshot { classes, ..snapshot.clone() };
+        self.aggregator.restore(to_ms(now), to_ms(age), &snapshot);
     }
 
     /// Takes news of the list of servers. It counts from the next call on.
@@ -305,7 +305,7 @@
     /// The query's client has gone away: nothing more is owed.
     pub fn leave(&mut self, query: QueryId) {
         if self.close(query) {
-            self.staged.push(Event::Gone(RequestId::Query(query)));
+            self.staged.push(Event::ClientGone(RequestId::Query(query)));
         }
     }
 
@@ -350,22 +350,22 @@
             }
             self.held += needs;
             let time_out = q.limits.time_out.map_or(Micros::MAX, |time_out| now.saturating_add(time_out));
-            let give_up_at = q.give_up_at.min(time_out).min(self.answer_by);
-            self.ends.insert((give_up_at, q.id));
+            let deadline = q.deadline.min(time_out).min(self.answer_by);
+            self.ends.insert((deadline, q.id));
             let attempt_time_out = q.limits.attempt_time_out.unwrap_or(Micros::MAX);
             let attempts = vec![0; q.parts.len()];
             self.places.open(q.class, q.tenant);
             let (class, tenant) = (q.class, q.tenant);
-            self.open.insert(q.id, Open { class, tenant, attempt_time_out, attempts, give_up_at });
+            self.open.insert(q.id, Open { class, tenant, attempt_time_out, attempts, deadline });
             self.staged.push(Event::Query(brookbend::api::Query {
                 id: RequestId::Query(q.id),
                 group: q.id,
                 class: ClassIndex(q.class),
                 tenant: TenantIndex(q.tenant),
-                give_up_at: to_ms(give_up_at),
-                patience_ends: to_ms(q.give_up_at),
+                deadline: to_ms(deadline),
+                client_deadline: to_ms(q.deadline),
                 max_attempts: [q.limits.attempts, before].into_iter().flatten().min(),
-                again: q.again,
+                is_retry: q.is_retry,
             }));
             self.staged.extend(q.parts.iter().enumerate().map(|(i, p)| {
                 Event::Part(Part {
@@ -388,7 +388,7 @@
         let mut decisions = Decisions::default();
         if self.rest_at.take_if(|at| now >= *at).is_some() {
             self.settings = self.places.settings(now, &self.settings);
-            self.aggregator.retune(self.shared_settings(), &[]);
+            self.aggregator.reconfigure(self.shared_settings(), &[]);
             self.rest_at = self.places.rest_at(now);
         }
         if self.wake_at.take_if(|at| now >= *at).is_some() {
@@ -425,8 +425,8 @@
     }
 
     /// How many servers the list has, and how many of these the decisions avoid now.
-    pub fn census(&self, now: Micros) -> (u64, u64) {
-        let (servers, ejected) = self.aggregator.census(to_ms(now));
+    pub fn server_counts(&self, now: Micros) -> (u64, u64) {
+        let (servers, ejected) = self.aggregator.server_counts(to_ms(now));
         (servers as u64, ejected as u64)
     }
 
@@ -436,16 +436,16 @@
     }
 
     /// Takes what others saw at the servers. It counts as attempts of the first class.
-    pub fn report_bulk(&mut self, now: Micros, reports: Vec<Seen>) {
-        let bulk = |s: Seen| Bulk {
+    pub fn report_outcomes(&mut self, now: Micros, reports: Vec<Seen>) {
+        let bulk = |s: Seen| OutcomeCounts {
             node: s.server,
             served: s.served,
             errors: s.errors,
             lost: s.lost,
             elapsed: s.elapsed.map(to_ms),
         };
-        let reports: Vec<Bulk> = reports.into_iter().map(bulk).collect();
-        self.aggregator.report_bulk(to_ms(now), ClassIndex(0), &reports);
+        let reports: Vec<OutcomeCounts> = reports.into_iter().map(bulk).collect();
+        self.aggregator.report_outcomes(to_ms(now), ClassIndex(0), &reports);
     }
 
     /// When [`Core::tick`] is due.
@@ -482,7 +482,7 @@
         let Some(open) = self.open.remove(&query) else { return false };
         self.held -= 1 + open.attempts.len();
         self.places.close(open.class, open.tenant);
-        self.ends.remove(&(open.give_up_at, query));
+        self.ends.remove(&(open.deadline, query));
         true
     }
 
@@ -491,11 +491,11 @@
         let events = std::mem::take(&mut self.staged);
         for action in self.aggregator.on_batch(to_ms(now), events) {
             match action {
-                Action::Send { part, node, within } => {
+                Action::Send { part, node, timeout } => {
                     let Some(attempt) = self.next_attempt(&part) else { continue };
-                    let ends = |open: &Open| open.give_up_at.min(now.saturating_add(open.attempt_time_out));
+                    let ends = |open: &Open| open.deadline.min(now.saturating_add(open.attempt_time_out));
                     let ends = self.open.get(&attempt.query).map_or(now, ends);
-                    let until = within.map_or(ends, |ms| ends.min(now + millis(ms)));
+                    let until = timeout.map_or(ends, |ms| ends.min(now + millis(ms)));
                     decisions.dispatches.push(Dispatch { attempt, server: node, until });
                 }
                 Action::Cancel { part, attempt } => {
@@ -556,12 +556,12 @@
 mod tests {
     use super::*;
     use brookbend::api::NodeState;
-    use brookbend::settings::{Message, decode};
+    use brookbend::settings::{JsonObject, decode};
     use serde_json::Value;
 
     fn core(max_open: usize) -> Core {
         let settings: Value = serde_json::from_str(include_str!("../../model/tests/settings.json")).unwrap();
-        let site = decode(&Message::new("settings", settings.as_object().unwrap())).unwrap();
+        let site = decode(&JsonObject::new("settings", settings.as_object().unwrap())).unwrap();
         let mut core = Core::new(site.settings, max_open, 7);
         let server = |n: usize| ServerInfo {
             name: NodeId(format!("s{n}").into()),
@@ -578,7 +578,7 @@
         let weight = 1.0 / shards.len() as f64;
         let parts = shards.iter().map(|&shard| PartSpec { shard, weight, hint: None }).collect();
         let limits = Arc::default();
-        Query { id, class: 0, tenant: 0, give_up_at: 1_000_000, limits, again: false, parts }
+        Query { id, class: 0, tenant: 0, deadline: 1_000_000, limits, is_retry: false, parts }
     }
 
     fn ended(attempt: AttemptId, outcome: Outcome) -> Report {
--- a/crates/core/src/places.rs
+++ b/crates/core/src/places.rs
@@ -4,7 +4,7 @@
 //! while it is in use: a class that changes moves to another, and one that leaves keeps its own until it is long empty.
 //! A tenant has one place for as long as it is named, and what one that leaves had holds for its queries.
 
-use brookbend::Begun;
+use brookbend::NewClass;
 use brookbend::api::{Class, ClassIndex, Settings, Tenant};
 use plover_model::query::Names;
 use plover_model::time::{Micros, SECOND, millis};
@@ -65,7 +65,7 @@
     /// Tenants that begin at an index which another may have had long before.
     pub tenants_begun: Vec<usize>,
     pub(crate) at: Micros,
-    pub(crate) begun: Vec<Begun>,
+    pub(crate) begun: Vec<NewClass>,
     places: Places,
 }
 
@@ -128,7 +128,7 @@
             let place = Place::new(name, class.clone());
             let index = begin(&mut places.classes, now, place).ok_or(TooMany("classes"))?;
             live.insert(index);
-            begun.push(Begun { class: ClassIndex(index), heir_of: current.map(ClassIndex) });
+            begun.push(NewClass { class: ClassIndex(index), inherits_from: current.map(ClassIndex) });
         }
         leave(&mut places.classes, now, &live);
         let mut live = BTreeSet::new();
--- a/crates/core/src/places/tests.rs
+++ b/crates/core/src/places/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use brookbend::api::Semantics;
-use brookbend::settings::{Message, decode};
+use brookbend::settings::{JsonObject, decode};
 use proptest::prelude::*;
 
 fn settings() -> (Settings, Names) {
     let settings: serde_json::Value =
         serde_json::from_str(include_str!("../../../model/tests/settings.json")).unwrap();
-    let site = decode(&Message::new("settings", settings.as_object().unwrap())).unwrap();
+    let site = decode(&JsonObject::new("settings", settings.as_object().unwrap())).unwrap();
     let names = Names { classes: site.class_names, tenants: site.tenant_names, ..Names::default() };
     (site.settings, names)
 }
@@ -22,7 +22,7 @@
     assert_eq!(placed.settings.classes[0].semantics, Semantics::Safe);
     assert_eq!(placed.names.class("lookup"), Some(3));
     assert_eq!(placed.settings.classes[3].semantics, Semantics::Unsafe);
-    assert_eq!(placed.begun, [Begun { class: ClassIndex(3), heir_of: Some(ClassIndex(0)) }]);
+    assert_eq!(placed.begun, [NewClass { class: ClassIndex(3), inherits_from: Some(ClassIndex(0)) }]);
     places.adopt(&placed);
     // Back again, long after: its first place is still held by a query, and is not used again.
     let again = places.plan(10 * REST, &old, &names).unwrap();
--- a/crates/core/tests/day.rs
+++ b/crates/core/tests/day.rs
@@ -150,7 +150,8 @@
     fn work(&mut self, now: Micros, set: &Settings) -> Vec<Job> {
         let cold = &set.cold;
         let age = self.started.map_or(1.0, |at| (now - at) as f64 / 1000.0 / cold.warm_after).min(1.0);
-        let can = self.speed * (cold.from + (1.0 - cold.from) * age) * TICK as f64 / MILLI as f64;
+        let can = self.speed * (cold.initial_capacity + (1.0 - cold.initial_capacity) * age) * TICK as f64
+            / MILLI as f64;
         self.jobs.iter_mut().take(CORES).for_each(|j| j.left -= can);
         self.jobs.extract_if(.., |j| j.left <= 0.0).collect()
     }
@@ -270,9 +271,9 @@
                 id,
                 class,
                 tenant,
-                give_up_at: now + (self.set.classes[class].give_up * 1000.0) as Micros,
+                deadline: now + (self.set.classes[class].give_up * 1000.0) as Micros,
                 limits: Arc::default(),
-                again: false,
+                is_retry: false,
                 parts: specs.collect(),
             });
             let broker = self.chance.within(0.0, self.load.brokers as f64) as usize;
--- a/crates/core/tests/ending.rs
+++ b/crates/core/tests/ending.rs
@@ -45,9 +45,9 @@
 fn queries_in_hand_are_over_by_the_end_too() {
     let mut core = core(&config(&[60_000.0; 3]));
     let part = PartSpec { shard: 0, weight: 1.0, hint: None };
-    let query = |id, give_up_at| {
+    let query = |id, deadline| {
         let parts = vec![part.clone()];
-        Query { id, class: 0, tenant: 0, give_up_at, limits: Arc::default(), again: false, parts }
+        Query { id, class: 0, tenant: 0, deadline, limits: Arc::default(), is_retry: false, parts }
     };
     // The second is over before.
     assert_eq!(core.pick(MILLI, vec![query(1, 60 * SECOND), query(2, SECOND)]).dispatches.len(), 2);
@@ -73,6 +73,6 @@
     assert_eq!(core.longest_wait(0), 60 * SECOND);
     let other = config(&[1000.0, 1500.0]);
     let placed = core.plan(SECOND, &other.settings, &other.names).unwrap();
-    core.retune(&placed, 10, SECOND);
+    core.reconfigure(&placed, 10, SECOND);
     assert_eq!(core.longest_wait(2 * SECOND), 1500 * MILLI);
 }
--- a/crates/core/tests/fleet_lists.rs
+++ b/crates/core/tests/fleet_lists.rs
@@ -4,7 +4,7 @@
 
 use allocation_counter::{AllocationInfo, measure};
 use brookbend::api::Settings;
-use brookbend::settings::{Message, decode};
+use brookbend::settings::{JsonObject, decode};
 use plover_core::Core;
 use plover_model::server::Targets;
 use plover_model::time::{Micros, SECOND};
@@ -22,7 +22,7 @@
 fn settings(servers: usize) -> Settings {
     let text: serde_json::Value =
         serde_json::from_str(include_str!("../../model/tests/settings.json")).unwrap();
-    let site = decode(&Message::new("settings", text.as_object().unwrap())).unwrap();
+    let site = decode(&JsonObject::new("settings", text.as_object().unwrap())).unwrap();
     let cells = servers / HOLDERS;
     Settings { cells, reach: 1, shards: cells, ..site.settings }
 }
@@ -72,7 +72,7 @@
 
     /// What is told to a process that takes over.
     fn recall_bytes(&self) -> usize {
-        serde_json::to_vec(&self.core.recall(self.now, 1)).unwrap().len()
+        serde_json::to_vec(&self.core.snapshot(self.now, 1)).unwrap().len()
     }
 }
 
@@ -83,7 +83,7 @@
         let mut broker = Broker::new(servers);
         let list = text(1, true, 0..servers, "active", 0);
         let cost = broker.hears(&list);
-        assert_eq!(broker.core.census(broker.now).0, servers as u64);
+        assert_eq!(broker.core.server_counts(broker.now).0, servers as u64);
         let held = cost.bytes_current as u64;
         let now = [list.len() as u64, cost.count_total, cost.bytes_total, held];
         println!(
@@ -177,7 +177,7 @@
         "| 976 replaced of {SERVERS}, a day | | | | {held} held, {list} before | {} |",
         broker.recall_bytes()
     );
-    assert_eq!(broker.core.census(broker.now).0, SERVERS as u64);
+    assert_eq!(broker.core.server_counts(broker.now).0, SERVERS as u64);
     // What the watch still knows of those that are gone is bounded on its own.
     assert!(held <= list + list / 20, "{held} held, {list} before");
 }
--- a/crates/core/tests/places.rs
+++ b/crates/core/tests/places.rs
@@ -1,7 +1,7 @@
 //! Classes and tenants by name, while files come that have them in another order, under other names, or not at all.
 
 use brookbend::api::{Class, NodeState, Settings};
-use brookbend::settings::{Message, decode};
+use brookbend::settings::{JsonObject, decode};
 use plover_core::{Core, MOST_PLACES, Query};
 use plover_model::query::{Names, PartSpec, QueryId};
 use plover_model::server::{ListScope, NodeId, ServerInfo};
@@ -12,7 +12,7 @@
 fn settings() -> (Settings, Names) {
     let settings: serde_json::Value =
         serde_json::from_str(include_str!("../../model/tests/settings.json")).unwrap();
-    let site = decode(&Message::new("settings", settings.as_object().unwrap())).unwrap();
+    let site = decode(&JsonObject::new("settings", settings.as_object().unwrap())).unwrap();
     let names = Names { classes: site.class_names, tenants: site.tenant_names, ..Names::default() };
     (site.settings, names)
 }
@@ -30,14 +30,14 @@
     core
 }
 
-fn query(id: QueryId, class: usize, tenant: usize, give_up_at: Micros) -> Query {
+fn query(id: QueryId, class: usize, tenant: usize, deadline: Micros) -> Query {
     let parts = vec![PartSpec { shard: 0, weight: 1.0, hint: None }];
-    Query { id, class, tenant, give_up_at, limits: Arc::default(), again: false, parts }
+    Query { id, class, tenant, deadline, limits: Arc::default(), is_retry: false, parts }
 }
 
 fn take(core: &mut Core, now: Micros, file: &(Settings, Names)) -> (Settings, Names) {
     let placed = core.plan(now, &file.0, &file.1).unwrap();
-    core.retune(&placed, 1000, now + SECOND);
+    core.reconfigure(&placed, 1000, now + SECOND);
     (placed.settings, placed.names)
 }
 
@@ -166,7 +166,7 @@
         let placed = core.plan(now, &file(&[(0, 0)], &[(n, 1)]).0, &file(&[(0, 0)], &[(n, 1)]).1).unwrap();
         let index = placed.names.tenant(format!("tenant{n}").as_bytes()).unwrap();
         assert_eq!((index > 0, placed.tenants_begun.as_slice()), (true, [index].as_slice()));
-        core.retune(&placed, 1000, now);
+        core.reconfigure(&placed, 1000, now);
     }
 }
 
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -123,7 +123,7 @@
 
 /// Runs a query to its end, with servers that answer or say nothing; `None`: it never ends.
 fn run(core: &mut Core, now: &mut Micros, query: Query, answered: bool) -> Option<Verdict> {
-    let (id, last) = (query.id, query.give_up_at);
+    let (id, last) = (query.id, query.deadline);
     let mut decisions = core.pick(*now, vec![query]);
     loop {
         if let Some(end) = decisions.finals.iter().find(|f| f.query == id) {
@@ -170,9 +170,9 @@
                 id,
                 class: ask.class,
                 tenant: ask.tenant,
-                give_up_at: now + ask.patience,
+                deadline: now + ask.patience,
                 limits: ask.limits,
-                again: ask.again,
+                is_retry: ask.again,
                 parts: ask.parts,
             };
             let end = run(&mut core, &mut now, query, round < 4);
--- a/crates/core/tests/simulated/day.rs
+++ b/crates/core/tests/simulated/day.rs
@@ -124,21 +124,26 @@
         zone: None,
         over_share_worth: 1.0,
         worth_by_work: false,
-        marks_again: false,
+        clients_mark_retries: false,
         cells: shards,
         reach: 1,
         shards,
         batch: 8,
         call_work: 1.0,
         max_attempts: 3,
-        second_copies: false,
+        hedging: false,
         cancel: true,
         max_retry_after: Some(50.0),
         tick: (TICK / MILLI) as f64,
         list: ListSource::Pushed,
-        ask_within: 10_000.0,
+        list_deadline: 10_000.0,
         budget: None,
-        cold: ColdRule { from: 0.2, warm_after: 10_000.0, fall_multiple: 2.0, fall_after: 2000.0 },
+        cold: ColdRule {
+            initial_capacity: 0.2,
+            warm_after: 10_000.0,
+            overload_factor: 2.0,
+            overload_time: 2000.0,
+        },
     }
 }
 
@@ -216,7 +221,7 @@
     /// One turn, which takes what its work takes, and the wait for the next.
     fn turn(&mut self) {
         let (now, busy) = (self.now, self.busy);
-        self.core.set_own_time(self.own.part(), self.own.turn(), busy);
+        self.core.set_overhead(self.own.part(), self.own.turn(), busy);
         let mut reports = Vec::new();
         while let Some(entry) = self.out.first_entry().filter(|entry| entry.key().0 <= now) {
             let ((_, attempt), out) = entry.remove_entry();
@@ -257,9 +262,9 @@
             id,
             class,
             tenant: 0,
-            give_up_at: at + give_up(self.aims[class]),
+            deadline: at + give_up(self.aims[class]),
             limits: Arc::default(),
-            again: false,
+            is_retry: false,
             parts: (0..parts).map(part).collect(),
         }
     }
--- a/crates/core/tests/wide.rs
+++ b/crates/core/tests/wide.rs
@@ -1,7 +1,7 @@
 //! Queries of more parts than a name of three digits can number.
 
 use brookbend::api::NodeState;
-use brookbend::settings::{Message, decode};
+use brookbend::settings::{JsonObject, decode};
 use plover_core::{Core, Query, Report, Verdict};
 use plover_model::query::PartSpec;
 use plover_model::server::{ListScope, NodeId, Outcome, ServerInfo};
@@ -12,7 +12,7 @@
 
 fn core(servers: usize) -> Core {
     let settings: Value = serde_json::from_str(include_str!("../../model/tests/settings.json")).unwrap();
-    let site = decode(&Message::new("settings", settings.as_object().unwrap())).unwrap();
+    let site = decode(&JsonObject::new("settings", settings.as_object().unwrap())).unwrap();
     let mut core = Core::new(site.settings, 20_000, 7);
     let server = |n: usize| ServerInfo {
         name: NodeId(format!("s{n}").into()),
@@ -34,9 +34,9 @@
         id,
         class: 0,
         tenant: 0,
-        give_up_at: 10_000_000,
+        deadline: 10_000_000,
         limits: Arc::default(),
-        again: false,
+        is_retry: false,
         parts: vec![part.clone(); PARTS],
     };
     let sent = core.pick(1000, vec![query(9), query(10)]).dispatches;
--- a/crates/director/src/lib.rs
+++ b/crates/director/src/lib.rs
@@ -306,7 +306,7 @@
         let failing: BTreeSet<&NodeId> = out.keys().collect();
         let seen: Vec<Seen> = self.reports.drain(&failing);
         if !seen.is_empty() {
-            self.core.report_bulk(now, seen);
+            self.core.report_outcomes(now, seen);
             views = self.views(now);
         }
         let cells = cells(now, &views, &out, &self.figures.cold);
--- a/crates/handover/src/neighbours.rs
+++ b/crates/handover/src/neighbours.rs
@@ -1,7 +1,7 @@
 //! What one process knows of its neighbours, and what it may do therefore.
 
 use crate::wire::{Fault, Greeting, Reader, Word, greet, say};
-use plover_model::recall::Recall;
+use plover_model::snapshot::Snapshot;
 use plover_model::time::{MILLI, Micros, SECOND};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -49,7 +49,7 @@
     /// It is one broker with us from now on; true: it is the older one.
     Joined(bool),
     /// What it knows of servers and classes.
-    Recall(Box<Recall>),
+    Recall(Box<Snapshot>),
     /// Something about a key, to be put into the register as it stands.
     Key(Word),
     /// It has gone, and with it all that it had in hand: these keys' attempts may run on until their time is over.
--- a/crates/handover/src/wire.rs
+++ b/crates/handover/src/wire.rs
@@ -5,7 +5,7 @@
 //! version has it. All later frames hold one [`Word`] as postcard encodes it (postcard.jamesmunns.com, wire format 1.0).
 
 use plover_model::query::Proof;
-use plover_model::recall::Recall;
+use plover_model::snapshot::Snapshot;
 use plover_model::time::Micros;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Word {
     /// What is known of servers and classes.
-    Recall(Box<Recall>),
+    Recall(Box<Snapshot>),
     /// All that was known at the greeting has been told.
     Told,
     /// A query is in hand.
--- a/crates/handover/src/wire/tests.rs
+++ b/crates/handover/src/wire/tests.rs
@@ -75,15 +75,15 @@
 /// What is known of a fleet of 7,800 servers fits into one word, also where all of them are cold and much was sent to each.
 #[test]
 fn what_is_known_of_a_great_fleet_fits_into_a_word() {
-    let server = |n: usize| plover_model::recall::ServerRecall {
+    let server = |n: usize| plover_model::snapshot::ServerSnapshot {
         name: format!("s-{n:08x}"),
-        heard_ago: Some(1.5),
-        served_ago: Some(2.5),
+        last_response_age: Some(1.5),
+        last_served_sent_age: Some(2.5),
         cold_sent: vec![(1.5, 2.5); 64],
         ..Default::default()
     };
     let servers = (0..7800).map(server).collect();
-    let word = Word::Recall(Box::new(Recall { servers, ..Recall::default() }));
+    let word = Word::Recall(Box::new(Snapshot { servers, ..Snapshot::default() }));
     let frame = say(&word).expect("it can be said");
     let mut reader = Reader::default();
     reader.feed(&frame);
@@ -95,7 +95,7 @@
 fn words_without_and_with_the_owner_of_a_key_are_both_read() {
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
     enum Before {
-        Recall(Box<Recall>),
+        Recall(Box<Snapshot>),
         Told,
         Opened { id: String, units: u32, owner: Option<String> },
         Closed { id: String },
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`time`] counts whole microseconds; [`query`] is what a client asks and how that ends; [`server`] is the list of
 //! data servers as discovery sends it and as the decisions see it; [`limits`] bounds what the sockets hold.
 
-pub use brookbend::recall;
+pub use brookbend::snapshot;
 
 pub mod limits;
 pub mod query;
--- a/crates/query/src/terms/tests.rs
+++ b/crates/query/src/terms/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use brookbend::settings::{Message, decode as settings_of};
+use brookbend::settings::{JsonObject, decode as settings_of};
 
 fn terms() -> Terms {
     let settings: serde_json::Value =
         serde_json::from_str(include_str!("../../../model/tests/settings.json")).unwrap();
-    let site = settings_of(&Message::new("settings", settings.as_object().unwrap())).unwrap();
+    let site = settings_of(&JsonObject::new("settings", settings.as_object().unwrap())).unwrap();
     let names = Names {
         classes: site.class_names,
         tenants: site.tenant_names,
