--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -173,7 +173,7 @@
         let rows = names.classes.iter().map(|name| books.row(name)).collect();
         let (window, keep) = repeat_times(settings);
         let mut repeats = KeyRegister::new(window, keep, KEYS);
-        repeats.allow_hedging(settings.second_copies);
+        repeats.allow_hedging(settings.hedging);
         Queries {
             pending: BTreeMap::new(),
             ids: BTreeSet::new(),
@@ -238,7 +238,7 @@
     pub(crate) fn reconfigure(&mut self, settings: &Settings, names: &Names, room: usize) {
         let (window, keep) = repeat_times(settings);
         self.repeats.reconfigure(window, keep);
-        self.repeats.allow_hedging(settings.second_copies);
+        self.repeats.allow_hedging(settings.hedging);
         self.windows = windows(settings);
         self.shares.set_capacity(room);
         self.max_retry_after = settings.max_retry_after.map(millis);
@@ -390,9 +390,9 @@
             id,
             class: ask.class,
             tenant: ask.tenant,
-            give_up_at,
+            deadline: give_up_at,
             limits: ask.limits.clone(),
-            again: ask.is_retry,
+            is_retry: ask.is_retry,
             parts: ask.parts.clone(),
         };
         let span = debug_span!("query", query = id, connection, id = %ask.id);
--- a/crates/broker/src/server_list.rs
+++ b/crates/broker/src/server_list.rs
@@ -2,8 +2,8 @@
 
 use crate::upstream::Upstream;
 use plover_core::Core;
-use plover_model::recall::Recall;
 use plover_model::server::{ListScope, NodeId, NodeState, ServerInfo, Targets};
+use plover_model::snapshot::Snapshot;
 use plover_model::time::Micros;
 use plover_runtime::clock::Clock;
 use std::collections::BTreeSet;
@@ -47,7 +47,7 @@
     pub(crate) fn apply_drains(
         &self,
         now: Micros,
-        recall: &Recall,
+        recall: &Snapshot,
         core: &mut Core,
         upstream: &mut Upstream,
     ) {
@@ -55,7 +55,7 @@
             return;
         }
         let leaves: BTreeSet<&str> =
-            recall.servers.iter().filter(|s| s.leaving).map(|s| s.name.as_str()).collect();
+            recall.servers.iter().filter(|s| s.draining_or_gone).map(|s| s.name.as_str()).collect();
         let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
         let views = core.server_statuses(now, |_| Some(nowhere)).into_iter();
         let drains = views.filter(|v| v.state == NodeState::Serving && leaves.contains(&*v.name.0));
--- a/crates/brookbend/src/consistency.rs
+++ b/crates/brookbend/src/consistency.rs
@@ -12,13 +12,13 @@
         let mut wrong = None;
         for (id, q) in &mut queries {
             self.update_late_parts(q);
-            let stands: Vec<PartStatus> = q.pieces.iter().map(|p| p.status).collect();
+            let stands: Vec<PartStatus> = q.parts.iter().map(|p| p.status).collect();
             let kept = take(&mut q.totals);
             let broken = std::mem::replace(&mut self.visits_all, true);
             let scanned = self.lost_and_served_counts(q);
             self.visits_all = broken;
-            q.rebuild_index(&self.set, self.now);
-            for (i, (kept, p)) in stands.iter().zip(&q.pieces).enumerate() {
+            q.rebuild_index(&self.settings, self.now);
+            for (i, (kept, p)) in stands.iter().zip(&q.parts).enumerate() {
                 // What may not be repeated since some moment is found out when it is looked at.
                 let lapsed = matches!(
                     (kept, p.status),
@@ -26,10 +26,10 @@
                         | (PartStatus::Failed, PartStatus::Exhausted)
                 );
                 if *kept != p.status && !lapsed {
-                    wrong = Some(format!("{id}, piece {i}: kept {kept:?}, is {:?}", p.status));
+                    wrong = Some(format!("{id}, part {i}: kept {kept:?}, is {:?}", p.status));
                 }
             }
-            if !same(&kept, &q.totals) || (q.broken, q.totals.served) != scanned {
+            if !same(&kept, &q.totals) || (q.lost_to_silent, q.totals.served) != scanned {
                 wrong = Some(format!("{id}: kept {kept:?}, is {:?}, {scanned:?}", q.totals));
             }
         }
--- a/crates/brookbend/src/part_index.rs
+++ b/crates/brookbend/src/part_index.rs
@@ -1,10 +1,10 @@
-//! Where the pieces of a held query stand, which of them a turn has to look at, and what they add up to.
+//! Where the parts of a held query stand, which of them a turn has to look at, and what they add up to.
 //!
-//! Nothing here decides anything: sums and sets are kept as pieces change, in place of what would be gone through anew.
+//! Nothing here decides anything: sums and sets are kept as parts change, in place of what would be gone through anew.
 
 use crate::api::*;
-use crate::choice::{Aggregator, ROUNDING};
-use crate::state::{Held, Piece};
+use crate::choice::{Aggregator, TOLERANCE};
+use crate::state::{PartState, QueryState};
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeSet, BinaryHeap};
 
@@ -13,7 +13,7 @@
 
 /// A moment, in order.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct OrderedTime(pub(crate) Ms);
+pub(crate) struct OrderedTime(pub(crate) Millis);
 
 impl Eq for OrderedTime {}
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Where a piece stands.
+/// Where a part stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum PartStatus {
     /// Served, or of a step that is over, or never to be asked for.
@@ -53,26 +53,26 @@
     LateExhausted,
 }
 
-/// The pieces of a query by where they stand, as far as they are to be found.
+/// The parts of a query by where they stand, as far as they are to be found.
 #[derive(Default)]
 pub(crate) struct PartIndex {
     pub(crate) unsent: BTreeSet<usize>,
     pub(crate) reserve: BTreeSet<usize>,
     pub(crate) failed: BTreeSet<usize>,
     exhausted: usize,
-    /// When what is out will be for as long as expected: the piece, and how many attempts it had. Some have ended since.
+    /// When what is out will be for as long as expected: the part, and how many attempts it had. Some have ended since.
     pub(crate) waiting: BinaryHeap<Reverse<(OrderedTime, usize, usize)>>,
     /// By when it was sent.
     pub(crate) beyond_expected: BTreeSet<(OrderedTime, usize)>,
     pub(crate) late: BTreeSet<usize>,
     pub(crate) late_exhausted: BTreeSet<usize>,
     /// Attempts are not late before this time.
-    pub(crate) late_floor: Ms,
+    pub(crate) late_floor: Millis,
 }
 
 impl PartIndex {
-    fn insert(&mut self, i: usize, p: &Piece) {
-        let last = p.tries.last().map_or((0.0, 0.0), |t| (t.sent, t.expected));
+    fn insert(&mut self, i: usize, p: &PartState) {
+        let last = p.attempts.last().map_or((0.0, 0.0), |t| (t.sent, t.expected));
         match p.status {
             PartStatus::Done => {}
             PartStatus::Unsent => drop(self.unsent.insert(i)),
@@ -80,7 +80,7 @@
             PartStatus::Failed => drop(self.failed.insert(i)),
             PartStatus::Exhausted => self.exhausted += 1,
             PartStatus::Waiting => {
-                self.waiting.push(Reverse((OrderedTime(last.0 + last.1), i, p.tries.len())))
+                self.waiting.push(Reverse((OrderedTime(last.0 + last.1), i, p.attempts.len())))
             }
             PartStatus::BeyondExpected => drop(self.beyond_expected.insert((OrderedTime(last.0), i))),
             PartStatus::Late => drop(self.late.insert(i)),
@@ -88,8 +88,8 @@
         }
     }
 
-    fn remove(&mut self, i: usize, p: &Piece) {
-        let sent = p.tries.last().map_or(0.0, |t| t.sent);
+    fn remove(&mut self, i: usize, p: &PartState) {
+        let sent = p.attempts.last().map_or(0.0, |t| t.sent);
         match p.status {
             PartStatus::Done | PartStatus::Waiting => {}
             PartStatus::Unsent => drop(self.unsent.remove(&i)),
@@ -102,19 +102,19 @@
         }
     }
 
-    /// Whether a piece was asked for, and its latest attempt has failed or is late.
+    /// Whether a part was asked for, and its latest attempt has failed or is late.
     pub(crate) fn any_failed_or_late(&self) -> bool {
         self.exhausted > 0
             || !(self.failed.is_empty() && self.late.is_empty() && self.late_exhausted.is_empty())
     }
 }
 
-/// What the pieces of a query add up to.
+/// What the parts of a query add up to.
 #[derive(Debug, Default)]
 pub(crate) struct PartTotals {
     /// Of all: how many are served, and the longest attempt at one of them.
     pub(crate) served: usize,
-    pub(crate) max_attempt_time: Ms,
+    pub(crate) max_attempt_time: Millis,
     /// Of the step at hand: how many are served, and their weight.
     pub(crate) step_served: usize,
     pub(crate) served_weight: f64,
@@ -128,7 +128,7 @@
 }
 
 impl PartTotals {
-    fn add(&mut self, p: &Piece, q: (bool, u32), sign: f64) {
+    fn add(&mut self, p: &PartState, q: (bool, u32), sign: f64) {
         let (step, most) = q;
         if p.served {
             self.served = self.served.wrapping_add_signed(sign as isize);
@@ -141,14 +141,14 @@
         if is_missing(p, most) {
             self.missing_weight += weight;
         }
-        let left = usize::from(p.left);
+        let left = usize::from(p.omitted);
         if p.served {
             self.step_served = self.step_served.wrapping_add_signed(sign as isize);
             self.served_weight += weight;
-        } else if p.tries.iter().any(|t| t.outcome.is_none()) {
+        } else if p.attempts.iter().any(|t| t.outcome.is_none()) {
             self.pending_weight[0][left] += weight;
-        } else if p.housed && p.tried() < most {
-            self.pending_weight[if p.tries.is_empty() { 1 } else { 2 }][left] += weight;
+        } else if p.has_holders && p.attempts_used() < most {
+            self.pending_weight[if p.attempts.is_empty() { 1 } else { 2 }][left] += weight;
         }
     }
 
@@ -164,52 +164,52 @@
     }
 }
 
-pub(crate) fn is_missing(p: &Piece, most: u32) -> bool {
-    p.left || !p.served && p.tried() >= most
+pub(crate) fn is_missing(p: &PartState, most: u32) -> bool {
+    p.omitted || !p.served && p.attempts_used() >= most
 }
 
-impl Held {
-    /// Takes a piece out of what is kept, before it changes.
+impl QueryState {
+    /// Takes a part out of what is kept, before it changes.
     pub(crate) fn unindex_part(&mut self, i: usize) {
-        let p = &self.pieces[i];
+        let p = &self.parts[i];
         self.part_index.remove(i, p);
-        self.totals.add(p, (i >= self.step_from, self.max_attempts), -1.0);
+        self.totals.add(p, (i >= self.step_start, self.max_attempts), -1.0);
     }
 
     /// Puts it back, where it stands now.
-    pub(crate) fn index_part(&mut self, set: &Settings, now: Ms, i: usize) {
-        let stand = self.part_status(set, now, i);
-        let p = &mut self.pieces[i];
+    pub(crate) fn index_part(&mut self, settings: &Settings, now: Millis, i: usize) {
+        let stand = self.part_status(settings, now, i);
+        let p = &mut self.parts[i];
         p.status = stand;
-        self.totals.add(p, (i >= self.step_from, self.max_attempts), 1.0);
+        self.totals.add(p, (i >= self.step_start, self.max_attempts), 1.0);
         if p.served {
             self.totals.max_attempt_time =
-                p.tries.iter().map(|t| t.took).fold(self.totals.max_attempt_time, f64::max);
+                p.attempts.iter().map(|t| t.took).fold(self.totals.max_attempt_time, f64::max);
         }
         self.part_index.insert(i, p);
     }
 
     /// All anew.
-    pub(crate) fn rebuild_index(&mut self, set: &Settings, now: Ms) {
+    pub(crate) fn rebuild_index(&mut self, settings: &Settings, now: Millis) {
         self.part_index = PartIndex { late_floor: self.part_index.late_floor, ..PartIndex::default() };
         self.totals = PartTotals::default();
-        (0..self.pieces.len()).for_each(|i| self.index_part(set, now, i));
+        (0..self.parts.len()).for_each(|i| self.index_part(settings, now, i));
     }
 
-    /// Whether the class lets a query do without some of its pieces: then each that is idle is looked at in each turn.
-    pub(crate) fn may_omit_parts(&self, set: &Settings) -> bool {
-        let class = &set.classes[self.class];
-        self.step_from == 0 && class.need - class.floor > ROUNDING
+    /// Whether the class lets a query do without some of its parts: then each that is idle is looked at in each turn.
+    pub(crate) fn may_omit_parts(&self, settings: &Settings) -> bool {
+        let class = &settings.classes[self.class];
+        self.step_start == 0 && class.need - class.floor > TOLERANCE
     }
 
-    fn part_status(&self, set: &Settings, now: Ms, i: usize) -> PartStatus {
-        let p = &self.pieces[i];
-        if p.served || i < self.step_from {
+    fn part_status(&self, settings: &Settings, now: Millis, i: usize) -> PartStatus {
+        let p = &self.parts[i];
+        if p.served || i < self.step_start {
             return PartStatus::Done;
         }
-        let over = p.tried() >= self.max_attempts;
-        let Some(last) = p.tries.last() else {
-            return match (over, p.reserve) {
+        let over = p.attempts_used() >= self.max_attempts;
+        let Some(last) = p.attempts.last() else {
+            return match (over, p.in_reserve) {
                 (true, _) => PartStatus::Done,
                 (false, true) => PartStatus::Reserve,
                 (false, false) => PartStatus::Unsent,
@@ -217,7 +217,7 @@
         };
         let age = now - last.sent;
         let repeats = |idle: bool| {
-            !over && (idle && self.may_omit_parts(set) || Aggregator::may_repeat(set, now, self, p))
+            !over && (idle && self.may_omit_parts(settings) || Aggregator::may_repeat(settings, now, self, p))
         };
         match (last.outcome, age > last.expected, age > self.part_index.late_floor) {
             (Some(_), ..) if repeats(true) => PartStatus::Failed,
@@ -229,13 +229,13 @@
         }
     }
 
-    /// The next piece after this one that a turn has to look at; `blocked`: no attempt beyond a first may go in it.
-    pub(crate) fn next_part(&self, set: &Settings, from: usize, blocked: bool) -> Option<usize> {
+    /// The next part after this one that a turn has to look at; `blocked`: no attempt beyond a first may go in it.
+    pub(crate) fn next_part(&self, settings: &Settings, from: usize, blocked: bool) -> Option<usize> {
         let a = &self.part_index;
         let next = |of: &BTreeSet<usize>, wanted: bool| {
             if wanted { of.range(from..).next().copied() } else { None }
         };
-        let leaves = self.may_omit_parts(set);
+        let leaves = self.may_omit_parts(settings);
         let tried = !blocked || leaves;
         [
             next(&a.unsent, true),
