--- a/crates/admission/src/capacity.rs
+++ b/crates/admission/src/capacity.rs
@@ -1,180 +1,187 @@
-//! ConnectionCapacity by need: how descriptors move between clients and data servers, and what becomes of a query that can't have its
-//! connections.
+//! Divides descriptors between clients and data servers by demand, and decides what happens to a query for
+//! which there are not enough connections.
 //!
-//! What is left beside the reserve is divided as [`crate::descriptors`] says for as long as that serves both sides. A side
-//! that needs more gets it from what the other one doesn't need, down to a least share that is never taken. What is needed
-//! now goes before what was needed recent, and both before what only rests.
+//! The descriptors that are left after the reserve are divided in the usual ratio (see
+//! [`crate::descriptors`]) as long as that satisfies both sides. A side that needs more gets what the other
+//! side does not need, down to a minimum share that each side always keeps. Current demand takes precedence
+//! over recent demand, and both over idle descriptors.
 
 use crate::descriptors::DescriptorShares;
 use std::collections::VecDeque;
 
-/// A side's least share, as a part of what the usual division gives it.
-const LEAST: u64 = 2;
-/// A few parts may find another holder in the next turn: so large a part of the pool's connections, and one at the least.
-const FEW: usize = 16;
-/// Sums of weights may fall this short: they are rounded on their way.
+/// The minimum share of a side is its usual share divided by this number.
+const MIN_SHARE_DIVISOR: u64 = 2;
+/// Parts for at most one in this number of the pool's connections, and for at least one connection, are left
+/// to the next turn, where they may find another holder.
+const RETRY_DIVISOR: usize = 16;
+/// Tolerance for the sum of the weights of a query's parts, which are rounded values.
 const ROUNDING: f64 = 5e-5;
 
-/// What one side needs, in descriptors.
+/// Demand of one side, in descriptors.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// At this moment: without them somebody isn't served.
+    /// Current demand: with less, a client or a query would not be served.
     pub now: u64,
-    /// At the most of late; less than `now` counts as `now`.
+    /// Maximum of recent demand. A value below `now` counts as `now`.
     pub recent: u64,
 }
 
-/// What clients and data servers share.
+/// The descriptors that clients and data servers share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionCapacity {
     usual: DescriptorShares,
-    least: DescriptorShares,
+    min: DescriptorShares,
 }
 
 impl ConnectionCapacity {
-    /// With that division where nothing speaks against it. Clients could never use more than `clients_most`, since their
-    /// connections take memory too.
-    pub fn new(usual: DescriptorShares, clients_most: u64) -> Self {
-        let least = |of: u64| (of / LEAST).max(1).min(of);
-        let clients = least(usual.clients).min(clients_most.max(1));
-        ConnectionCapacity { usual, least: DescriptorShares { clients, pool: least(usual.pool) } }
+    /// Creates a capacity with the division that applies unless demand requires another. `max_clients` is the
+    /// number of client connections for which there is memory: the minimum share of clients is no higher.
+    pub fn new(usual: DescriptorShares, max_clients: u64) -> Self {
+        let min_share = |of: u64| (of / MIN_SHARE_DIVISOR).max(1).min(of);
+        let clients = min_share(usual.clients).min(max_clients.max(1));
+        ConnectionCapacity { usual, min: DescriptorShares { clients, pool: min_share(usual.pool) } }
     }
 
-    /// All that there is.
+    /// Returns the number of descriptors of both sides together.
     pub fn total(&self) -> u64 {
         self.usual.clients + self.usual.pool
     }
 
-    /// What each side has whatever the other needs.
+    /// Returns the share that each side keeps whatever the demand of the other.
     pub fn min_shares(&self) -> DescriptorShares {
-        self.least
+        self.min
     }
 
-    /// The most connections to data servers that there can ever be.
+    /// Returns the maximum number of connections to data servers.
     pub fn max_pool(&self) -> u64 {
-        self.total() - self.least.clients
+        self.total() - self.min.clients
     }
 
-    /// Divides all that there is: both shares together are [`ConnectionCapacity::all`].
+    /// Divides all descriptors by demand. The sum of both shares is [`ConnectionCapacity::total`].
     pub fn divide(&self, clients: Demand, pool: Demand) -> DescriptorShares {
-        let all = self.total();
-        // What clients get at the least, and at the most, if both are to have what they need.
+        let total = self.total();
+        // Lower and upper bound of the clients' share if both sides are to have what they need.
         let bounds = |clients: u64, pool: u64| {
-            let (clients, pool) = (clients.max(self.least.clients), pool.max(self.least.pool));
-            (clients, all.saturating_sub(pool))
+            let (clients, pool) = (clients.max(self.min.clients), pool.max(self.min.pool));
+            (clients, total.saturating_sub(pool))
         };
         let now = bounds(clients.now, pool.now);
         let recent = bounds(clients.recent.max(clients.now), pool.recent.max(pool.now));
-        // Where both can't have it, who asks for no more than its usual share goes first, else that share is the rule.
+        // If the demand of both sides cannot be met, a side that needs no more than its usual share gets what
+        // it needs; if both need more, the usual division applies.
         let nearest = |to: u64, (low, high): (u64, u64)| to.clamp(low.min(high), low.max(high));
-        let wished = nearest(self.usual.clients, recent);
-        let share = if now.0 <= now.1 { nearest(wished, now) } else { nearest(self.usual.clients, now) };
-        DescriptorShares { clients: share, pool: all - share }
+        let preferred = nearest(self.usual.clients, recent);
+        let share = if now.0 <= now.1 { nearest(preferred, now) } else { nearest(self.usual.clients, now) };
+        DescriptorShares { clients: share, pool: total - share }
     }
 
-    /// How far each side may go at once, where the other one still holds more than it is to have: a descriptor is never
-    /// given twice.
+    /// Returns how many descriptors each side may have open for now. While one side still has more open than
+    /// its target, the other side's cap is lower than its target, so that no descriptor is assigned twice.
     pub fn caps(&self, target: DescriptorShares, open: DescriptorShares) -> DescriptorShares {
-        let all = self.total();
+        let total = self.total();
         DescriptorShares {
-            clients: target.clients.min(all.saturating_sub(open.pool)),
-            pool: target.pool.min(all.saturating_sub(open.clients)),
+            clients: target.clients.min(total.saturating_sub(open.pool)),
+            pool: target.pool.min(total.saturating_sub(open.clients)),
         }
     }
 }
 
-/// The highest figure of the last while.
+/// Maximum of the values that were observed within a sliding window of time.
 #[derive(Clone, Debug)]
 pub struct SlidingMaximum {
-    /// For how long one counts, in the caller's unit of time.
+    /// Length of the window, in the caller's unit of time.
     span: u64,
-    /// Falling figures with the moments until which they count. Bounded by [`SlidingMaximum::MAX_ENTRIES`].
-    kept: VecDeque<(u64, u64)>,
+    /// Pairs of expiry time and value, by descending value. At most [`SlidingMaximum::MAX_ENTRIES`].
+    entries: VecDeque<(u64, u64)>,
 }
 
 impl SlidingMaximum {
-    /// Figures that are kept apart at the most; beyond that neighbours count as one.
+    /// Maximum number of values that are kept apart. Beyond that, a new value is merged with the one before
+    /// it.
     pub const MAX_ENTRIES: usize = 64;
 
-    /// Over so long.
+    /// Creates an empty window of this length.
     pub fn new(span: u64) -> Self {
-        SlidingMaximum { span, kept: VecDeque::new() }
+        SlidingMaximum { span, entries: VecDeque::new() }
     }
 
-    /// Takes a figure, and says which was the highest.
-    pub fn observe(&mut self, now: u64, figure: u64) -> u64 {
+    /// Adds a value and returns the maximum of the window.
+    pub fn observe(&mut self, now: u64, value: u64) -> u64 {
         let until = now.saturating_add(self.span);
-        while self.kept.back().is_some_and(|(_, seen)| *seen <= figure) {
-            self.kept.pop_back();
+        while self.entries.back().is_some_and(|(_, seen)| *seen <= value) {
+            self.entries.pop_back();
         }
-        if self.kept.len() >= Self::MAX_ENTRIES {
-            // The newest counts as high as the one before it, and as long as itself.
-            if let Some(last) = self.kept.back_mut() {
+        if self.entries.len() >= Self::MAX_ENTRIES {
+            // The merged entry has the higher value of the two and the later expiry.
+            if let Some(last) = self.entries.back_mut() {
                 last.0 = until;
             }
         } else {
-            self.kept.push_back((until, figure));
+            self.entries.push_back((until, value));
         }
-        while self.kept.front().is_some_and(|(until, _)| *until <= now) {
-            self.kept.pop_front();
+        while self.entries.front().is_some_and(|(until, _)| *until <= now) {
+            self.entries.pop_front();
         }
-        self.kept.front().map_or(figure, |(_, seen)| *seen).max(figure)
+        self.entries.front().map_or(value, |(_, seen)| *seen).max(value)
     }
 
-    /// When the highest ceases to count, if there is one.
+    /// Returns the time at which the current maximum expires; `None` if the window is empty.
     pub fn next_expiry(&self) -> Option<u64> {
-        self.kept.front().map(|(until, _)| *until)
+        self.entries.front().map(|(until, _)| *until)
     }
 }
 
-/// The most data servers that a query's parts go to: one for each shard, and one for all shards of a cell. Queries and
-/// parts in hand are bounded too, the query itself counting one.
+/// Returns the maximum number of data servers to which the parts of one query go: one for each shard, and no
+/// more than there are cells. The number of open queries and parts is limited as well, and the query itself
+/// counts as one.
 pub fn max_fan_out(shards: usize, cells: usize, max_open: usize) -> u64 {
     shards.min(cells).min(max_open.saturating_sub(1)) as u64
 }
 
-/// So many connections of the widest plan are needed for that share of its parts.
-pub fn connections_needed(widest: u64, share: f64) -> u64 {
-    let part = (widest as f64 * share.clamp(0.0, 1.0) - ROUNDING).ceil();
-    (part.max(0.0) as u64).min(widest)
+/// Returns the number of connections that a query with the given fan-out needs for this share of its parts.
+pub fn connections_needed(fan_out: u64, share: f64) -> u64 {
+    let needed = (fan_out as f64 * share.clamp(0.0, 1.0) - ROUNDING).ceil();
+    (needed.max(0.0) as u64).min(fan_out)
 }
 
-/// What of a query goes out in a turn, and what doesn't for want of connections.
+/// What a query lacks in a turn for want of connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shortage {
-    /// The weight of its parts that aren't in, aren't out, and find no connection now.
+    /// Weight of the parts that are neither answered nor in flight and for which there is no connection.
     pub missing_weight: f64,
-    /// Of those that were left out before.
+    /// Weight of the parts that were omitted before.
     pub omitted_weight: f64,
-    /// Data servers without a connection that it wants now.
+    /// Number of data servers to which parts are to go in this turn and for which there is no connection.
     pub missing_servers: usize,
-    /// All data servers that it wants now.
+    /// Number of all data servers to which parts are to go in this turn.
     pub servers: usize,
 }
 
-/// What becomes of it.
+/// What to do with a query that lacks connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShortageAction {
-    /// What finds a connection goes out; its answer can be whole without the rest, which may be asked for again.
+    /// Send the parts that have a connection. The answer can be complete without the others, which may be
+    /// tried again.
     Send,
-    /// What finds a connection goes out; the rest is asked for again in the next turn, or left out.
+    /// Send the parts that have a connection. The others are tried again in the next turn, or else omitted.
     Retry,
-    /// What finds a connection goes out; the rest is left out for good.
+    /// Send the parts that have a connection and omit the others for good.
     Omit,
-    /// Nothing goes out: it can't be served.
+    /// Send nothing: the query cannot be served.
     Refuse,
 }
 
-/// Decides for a query that lacks connections, whose answer is whole with `need` of its parts' weight and may be given from
-/// `floor`. `pool`: connections that there may be now.
-pub fn shortage_action(plan: &Shortage, pool: usize, need: f64, floor: f64) -> ShortageAction {
-    let possible = 1.0 - plan.omitted_weight - plan.missing_weight + ROUNDING;
-    let few = plan.missing_servers <= (pool / FEW).max(1) && plan.servers <= pool;
-    if plan.missing_servers == 0 || possible >= need {
+/// Decides what to do with a query that lacks connections. Its answer is complete with a weight of `need` of
+/// its parts and may be given from a weight of `floor`. `pool` is the number of connections to data servers
+/// that may be open now.
+pub fn shortage_action(shortage: &Shortage, pool: usize, need: f64, floor: f64) -> ShortageAction {
+    let attainable = 1.0 - shortage.omitted_weight - shortage.missing_weight + ROUNDING;
+    let few = shortage.missing_servers <= (pool / RETRY_DIVISOR).max(1) && shortage.servers <= pool;
+    if shortage.missing_servers == 0 || attainable >= need {
         ShortageAction::Send
     } else if few {
         ShortageAction::Retry
-    } else if floor > 0.0 && possible >= floor.min(need) {
+    } else if floor > 0.0 && attainable >= floor.min(need) {
         ShortageAction::Omit
     } else {
         ShortageAction::Refuse
--- a/crates/admission/src/descriptors.rs
+++ b/crates/admission/src/descriptors.rs
@@ -1,79 +1,81 @@
-//! How many descriptors the process keeps for itself, and what it leaves to clients and data servers.
+//! Computes how many file descriptors the process reserves for itself, and divides the rest between clients
+//! and data servers.
 //!
-//! Every descriptor that can be open at a time has its line here, so that neither clients nor callers, whatever they do, take
-//! one that the list, a data server, a reading of the files or the shutdown needs.
+//! Every descriptor that can be open at the same time is counted here, so that neither clients nor callers of
+//! the admin interface can take one that the server list, a data server, the reading of a file or the
+//! shutdown needs.
 
 /// Standard input, output and error.
 const STANDARD_STREAMS: u64 = 3;
-/// The event queue: itself, its bell and its timer; and that of connections to data servers.
+/// The event queue with its waker and its timer, and the event queue of connections to data servers.
 const EVENTS: u64 = 4;
-/// Both ends of the pipe that tells of signals.
+/// Both ends of the pipe that reports signals.
 const SIGNALS: u64 = 2;
-/// Those of HTTP/1.1 and HTTP/2, and the platform's own, which stays open beside our copy.
+/// The listeners of HTTP/1.1 and HTTP/2, and the platform's own, which stays open beside the process's copy.
 const LISTENERS: u64 = 3;
-/// The watch's connection, and beside it that of the watch it replaces.
+/// The connection of the discovery watch, and that of the watch that it replaces.
 const DISCOVERY: u64 = 2;
-/// A file that is read at SIGHUP: one after the other.
+/// A file that is read at SIGHUP. Files are read one at a time.
 const FILES: u64 = 1;
-/// On each of two fronts one that is accepted and waits for a seat.
+/// For each of the two fronts, one accepted connection that waits for a slot.
 const WAITING: u64 = 2;
-/// One for each of them that is kept free: it takes the next client where the system gives no other.
-const MAX_ENTRIES: u64 = 2;
-/// On each of them, those that were told that there is no seat, or made room, and are read on for a moment.
+/// For each of the two fronts, one spare descriptor that accepts the next client when the system has no
+/// other.
+const SPARE: u64 = 2;
+/// Per front, connections that were rejected for lack of a slot, or closed to free one, and are still read
+/// from for a short time (lingering close).
 pub const FRONT_LINGERING: usize = 7;
-const PARTINGS: u64 = 2 * FRONT_LINGERING as u64;
-/// Seats of operators' admin: more callers at once than a platform and a few people are.
+const LINGERING: u64 = 2 * FRONT_LINGERING as u64;
+/// Maximum number of admin connections: more than a platform and a few people open at the same time.
 pub const ADMIN_CONNECTIONS: usize = 16;
-/// One that was turned away there, or made room, and one that is being pushed out by the next.
+/// Admin connections in lingering close: one that was rejected, or closed to free a slot, and one that the
+/// next one displaces.
 pub const ADMIN_LINGERING: usize = 2;
-/// The same of the admin, and its listener.
+/// The admin interface: its listener, one waiting connection, one spare descriptor, and its connections.
 const ADMIN: u64 = 3 + (ADMIN_CONNECTIONS + ADMIN_LINGERING) as u64;
-/// The hand-over: its listener, one that is just accepted and turned down, and the neighbours' connections and processes, those
-/// included that have lost us and live.
-const NEIGHBOURS: u64 = 4;
-const HANDOVER: u64 = 2 + 3 * NEIGHBOURS;
-/// The min_limit for clients and data servers together.
-const LEAST_SHARED: u64 = 4;
-/// What processes that share a limit have of it at the min_limit, as a part of what one alone would have.
-const LEAST_PART: u64 = 4;
-/// The min_limit limit to serve with, whatever is left out.
-const LEAST: u64 = 64;
+/// Maximum number of sibling processes of this broker.
+const SIBLINGS: u64 = 4;
+/// The handover: its listener, one connection that was just accepted and is rejected, and three for each
+/// sibling: its connections and its process, including siblings that lost their connection to this process
+/// and still run.
+const HANDOVER: u64 = 2 + 3 * SIBLINGS;
+/// Minimum number of descriptors for clients and data servers together.
+const MIN_SHARED: u64 = 4;
+/// Processes that share a limit together get at least one part in this number of what a single process would
+/// have.
+const MIN_SHARED_DIVISOR: u64 = 4;
+/// Minimum limit to serve with, regardless of which interfaces are enabled.
+const MIN_LIMIT: u64 = 64;
 
-/// What a process holds beside connections of clients and data servers.
+/// Descriptors that a process needs besides the connections of clients and data servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessDescriptors {
-    /// Whether operators have a admin.
+    /// Whether the admin interface is enabled.
     pub admin: bool,
-    /// Whether there may be another process of this broker.
+    /// Whether other processes of this broker may run on this machine.
     pub handover: bool,
-    /// Descriptors that were handed in at the start and are none of those named here.
+    /// Number of descriptors that were inherited at the start and are not counted elsewhere in this module.
     pub foreign: u64,
 }
 
 impl ProcessDescriptors {
-    /// The reserve: the most that is open of all that is not a seat and not a connection to a data server.
+    /// Returns the reserve: the maximum number of open descriptors that are neither a client's slot nor a
+    /// connection to a data server.
     pub fn reserve(&self) -> u64 {
-        let always = STANDARD_STREAMS
-            + EVENTS
-            + SIGNALS
-            + LISTENERS
-            + DISCOVERY
-            + FILES
-            + WAITING
-            + MAX_ENTRIES
-            + PARTINGS;
+        let always =
+            STANDARD_STREAMS + EVENTS + SIGNALS + LISTENERS + DISCOVERY + FILES + WAITING + SPARE + LINGERING;
         let admin = if self.admin { ADMIN } else { 0 };
         let handover = if self.handover { HANDOVER } else { 0 };
         always + admin + handover + self.foreign
     }
 
-    /// The min_limit limit to serve with.
+    /// Returns the minimum limit to serve with.
     pub fn min_limit(&self) -> u64 {
-        LEAST.max(self.reserve() + LEAST_SHARED)
+        MIN_LIMIT.max(self.reserve() + MIN_SHARED)
     }
 
-    /// Divides what a limit leaves: two thirds for clients' connections, one for those to data servers. The error is the
-    /// min_limit limit that would do.
+    /// Divides what a limit leaves after the reserve: two thirds for connections of clients, one third for
+    /// connections to data servers. If the limit is too low, the error is the minimum limit.
     pub fn divide(&self, limit: u64) -> Result<DescriptorShares, u64> {
         if limit < self.min_limit() {
             return Err(self.min_limit());
@@ -83,31 +85,32 @@
     }
 }
 
-/// The limit in force, and what the process keeps of it for itself.
+/// The limit of open descriptors in force, and the part of it that each process reserves for itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorLimit {
-    /// The most that may be open.
+    /// Maximum number of open descriptors.
     pub max: u64,
-    /// The reserve.
+    /// Number of descriptors that a process reserves.
     pub reserve: u64,
 }
 
 impl DescriptorLimit {
-    /// What one of so many processes that share the limit may have of what would be `all` with one alone: each has a
-    /// reserve of its own. Where the reserves leave next to nothing, a quarter of the rest is shared all the same.
+    /// Returns how many descriptors each of `processes` processes that share the limit may use, where a
+    /// single process could use `all`. Each process has its own reserve. If the reserves leave less than a
+    /// quarter of what a single process would have, that quarter is shared nevertheless.
     pub fn per_process(&self, all: usize, processes: usize) -> usize {
         let processes = processes.max(1) as u64;
         let alone = self.max.saturating_sub(self.reserve).max(1);
-        let together = self.max.saturating_sub(processes * self.reserve).max(alone / LEAST_PART);
+        let together = self.max.saturating_sub(processes * self.reserve).max(alone / MIN_SHARED_DIVISOR);
         ((all as u64 * together / alone / processes) as usize).max(1)
     }
 }
 
-/// What is left to connections.
+/// Division of the descriptors that are left for connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorShares {
-    /// For clients, on all fronts.
+    /// Descriptors for client connections on all fronts.
     pub clients: u64,
-    /// For data servers.
+    /// Descriptors for connections to data servers.
     pub pool: u64,
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,10 +1,12 @@
-//! Who may take how much of the broker's room, without I/O or clock.
+//! Divides the broker's capacity among connections, fronts and processes. It does no I/O and reads no clock.
 //!
-//! [`CapacityShares`] divides the room for queries and parts among connections: an HTTP/1.1 connection has one query in hand,
-//! an HTTP/2 connection may have hundreds, and must not shut out the others. [`budget`] derives how much each front
-//! may hold from the limits of the platform, so that all of them together stay within the memory given to clients.
-//! [`descriptors`] says how many the process keeps for itself, [`capacity`] how the rest moves between clients and data servers,
-//! [`OverheadEstimator`] what the broker itself needs for a part.
+//! - [`CapacityShares`] divides the capacity for open queries and parts among client connections. An HTTP/1.1
+//!   connection has one open query, an HTTP/2 connection may have hundreds and must not starve the others.
+//! - [`budget`] derives limits for each front from the limits of the platform, so that all of them together
+//!   stay within the memory for clients.
+//! - [`descriptors`] computes how many file descriptors the process reserves for itself.
+//! - [`capacity`] divides the remaining descriptors between clients and data servers by demand.
+//! - [`OverheadEstimator`] learns the time that the broker itself spends per part and per turn.
 
 pub mod budget;
 pub mod capacity;
--- a/crates/admission/src/shares.rs
+++ b/crates/admission/src/shares.rs
@@ -1,17 +1,18 @@
-//! CapacityShares of capacity by connection.
+//! Divides the capacity for open queries and parts among client connections.
 
 use std::collections::BTreeMap;
 
-/// Number of a client connection, never used twice.
+/// Number of a client connection. Numbers are not reused.
 pub type ConnectionId = u64;
 
-/// A connection may hold up to so many times the capacity that is still free. This is the dynamic threshold by which
-/// switches share a buffer among ports (Choudhury and Hahne, IEEE/ACM Transactions on Networking 6(2), 1998): one
-/// greedy connection alone comes to hold two thirds, two of them two fifths each, and some capacity always stays free
-/// for whoever holds nothing. It needs no count of who might still come.
-const TIMES_FREE: usize = 2;
+/// A connection may use up to this multiple of the capacity that is still free. This is the dynamic threshold
+/// with which switches share a buffer among ports (Choudhury and Hahne, IEEE/ACM Transactions on Networking
+/// 6(2), 1998): a single greedy connection gets two thirds of the capacity, two greedy connections two fifths
+/// each, and some capacity always stays free for connections that use none. The number of connections that
+/// may still come need not be known.
+const FREE_MULTIPLE: usize = 2;
 
-/// The capacity for queries and parts, and who holds it.
+/// Capacity for open queries and parts, counted together as units, and its use by each connection.
 #[derive(Debug)]
 pub struct CapacityShares {
     capacity: usize,
@@ -20,17 +21,17 @@
 }
 
 impl CapacityShares {
-    /// So much capacity, in queries and parts together.
+    /// Creates an unused capacity of this number of units.
     pub fn new(capacity: usize) -> Self {
         CapacityShares { capacity, in_use: 0, by_connection: BTreeMap::new() }
     }
 
-    /// Takes capacity for a query and its parts. False: the connection holds more than its share already. One that holds
-    /// nothing is never turned away here, however full the capacity is; whether there is any left is not judged here.
+    /// Acquires units for a query and its parts. Returns `false` if the connection would exceed its share. A
+    /// connection that uses no units is always admitted: whether any capacity is left is not checked here.
     pub fn try_acquire(&mut self, connection: ConnectionId, units: usize) -> bool {
-        let own = self.by_connection.get(&connection).copied().unwrap_or(0);
+        let in_use = self.by_connection.get(&connection).copied().unwrap_or(0);
         let free = self.capacity.saturating_sub(self.in_use + units);
-        if own > 0 && own + units > TIMES_FREE * free {
+        if in_use > 0 && in_use + units > FREE_MULTIPLE * free {
             return false;
         }
         self.in_use += units;
@@ -38,32 +39,32 @@
         true
     }
 
-    /// Gives capacity back that [`CapacityShares::take`] took.
+    /// Releases units that [`CapacityShares::try_acquire`] acquired.
     pub fn release(&mut self, connection: ConnectionId, units: usize) {
-        let Some(own) = self.by_connection.get_mut(&connection) else {
-            debug_assert!(false, "connection {connection} gives back what it does not hold");
+        let Some(in_use) = self.by_connection.get_mut(&connection) else {
+            debug_assert!(false, "connection {connection} releases {units} units but has none in use");
             return;
         };
-        debug_assert!(units <= *own, "connection {connection} gives back {units} of {own}");
-        let units = units.min(*own);
-        *own -= units;
+        debug_assert!(units <= *in_use, "connection {connection} releases {units} units of {in_use}");
+        let units = units.min(*in_use);
+        *in_use -= units;
         self.in_use -= units;
-        if *own == 0 {
+        if *in_use == 0 {
             self.by_connection.remove(&connection);
         }
     }
 
-    /// Other capacity, from now on; what is held stays.
+    /// Changes the capacity. Units in use stay in use.
     pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity;
     }
 
-    /// Queries and parts that are held.
+    /// Returns the number of units in use.
     pub fn in_use(&self) -> usize {
         self.in_use
     }
 
-    /// Connections that hold something.
+    /// Returns the number of connections that use any units.
     pub fn connection_count(&self) -> usize {
         self.by_connection.len()
     }
@@ -74,55 +75,56 @@
     use super::*;
     use proptest::prelude::*;
 
-    /// Takes until turned away; how much that was.
-    fn greedy(shares: &mut CapacityShares, connection: ConnectionId) -> usize {
+    /// Acquires units one by one until rejected, and returns how many were acquired.
+    fn acquire_all(shares: &mut CapacityShares, connection: ConnectionId) -> usize {
         let before = shares.in_use();
         while shares.try_acquire(connection, 1) {}
         shares.in_use() - before
     }
 
     #[test]
-    fn one_connection_leaves_room_for_others() {
+    fn one_connection_leaves_capacity_for_others() {
         let mut shares = CapacityShares::new(300);
-        assert_eq!(greedy(&mut shares, 1), 200);
-        assert_eq!(greedy(&mut shares, 2), 66);
-        assert!(shares.try_acquire(3, 4), "one that holds nothing found no capacity");
+        assert_eq!(acquire_all(&mut shares, 1), 200);
+        assert_eq!(acquire_all(&mut shares, 2), 66);
+        assert!(shares.try_acquire(3, 4), "a connection without units in use was rejected");
         let mut one_each = CapacityShares::new(300);
-        assert!(
-            (0..100).all(|c| one_each.try_acquire(c, 3)),
-            "connections with one query each are no matter of shares"
-        );
+        assert!((0..100).all(|c| one_each.try_acquire(c, 3)), "a connection's first query was rejected");
     }
 
     #[test]
-    fn room_that_comes_back_is_there_for_whoever_asks() {
+    fn released_capacity_is_available_to_any_connection() {
         let mut shares = CapacityShares::new(300);
-        greedy(&mut shares, 1);
-        greedy(&mut shares, 2);
+        acquire_all(&mut shares, 1);
+        acquire_all(&mut shares, 2);
         shares.release(1, 200);
         assert_eq!((shares.in_use(), shares.connection_count()), (66, 1));
         assert!(shares.try_acquire(2, 1));
     }
 
     proptest! {
-        /// Whatever connections do: what is held is the sum of what each holds, one that holds nothing is always let
-        /// in while less than all is taken, and a connection beyond its first query leaves a third of what is free.
+        /// For any sequence of calls: the units in use are the sum over all connections, a connection without
+        /// units in use is always admitted, and a connection with more than one query stays within its
+        /// multiple of what is free.
         #[test]
-        fn the_books_agree(moves in prop::collection::vec((0u64..6, 1usize..8, any::<bool>()), 0..400)) {
+        fn units_in_use_add_up_and_shares_are_kept(
+            moves in prop::collection::vec((0u64..6, 1usize..8, any::<bool>()), 0..400),
+        ) {
             let mut shares = CapacityShares::new(100);
-            let mut books: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
-            for (c, units, give) in moves {
-                let own = books.entry(c).or_default();
-                if give {
-                    if let Some(units) = own.pop() { shares.release(c, units); }
+            let mut expected: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
+            for (c, units, release) in moves {
+                let queries = expected.entry(c).or_default();
+                if release {
+                    if let Some(units) = queries.pop() { shares.release(c, units); }
                 } else if shares.try_acquire(c, units) {
-                    own.push(units);
-                    let sum: usize = own.iter().sum();
-                    prop_assert!(own.len() == 1 || sum <= TIMES_FREE * 100usize.saturating_sub(shares.in_use()));
+                    queries.push(units);
+                    let sum: usize = queries.iter().sum();
+                    let free = 100usize.saturating_sub(shares.in_use());
+                    prop_assert!(queries.len() == 1 || sum <= FREE_MULTIPLE * free);
                 } else {
-                    prop_assert!(!own.is_empty());
+                    prop_assert!(!queries.is_empty());
                 }
-                prop_assert_eq!(shares.in_use(), books.values().flatten().sum::<usize>());
+                prop_assert_eq!(shares.in_use(), expected.values().flatten().sum::<usize>());
             }
         }
     }
--- a/crates/admission/tests/descriptors.rs
+++ b/crates/admission/tests/descriptors.rs
@@ -1,9 +1,9 @@
-//! What is left to connections, and the reserve, under any limit.
+//! The reserve of descriptors and the shares that are left for connections, under any limit.
 
 use plover_admission::descriptors::{DescriptorLimit, DescriptorShares, ProcessDescriptors};
 use proptest::prelude::*;
 
-/// The figures that the architecture's page and the operators' pages name.
+/// The documentation names these numbers.
 #[test]
 fn the_reserve_is_as_documented() {
     let reserve = |admin, handover| ProcessDescriptors { admin, handover, foreign: 0 }.reserve();
@@ -15,29 +15,32 @@
 }
 
 proptest! {
-    /// Processes that are one broker stay within the limit together, each with a reserve of its own.
+    /// Processes of one broker together stay within the limit, although each has its own reserve.
     #[test]
-    fn processes_that_share_a_limit_stay_within_it(most in 300u64..70_000, copies in 1usize..4, admin: bool) {
-        let own = ProcessDescriptors { admin, handover: true, foreign: 0 };
-        let DescriptorShares { clients, pool } = own.divide(most).unwrap();
-        let limit = DescriptorLimit { max: most, reserve: own.reserve() };
-        let each = limit.per_process(clients as usize, copies) + limit.per_process(pool as usize, copies);
-        prop_assert!((each as u64 + own.reserve()) * copies as u64 <= most);
-        prop_assert!(copies > 1 || each as u64 == clients + pool);
+    fn processes_that_share_a_limit_stay_within_it(
+        max in 300u64..70_000, processes in 1usize..4, admin: bool,
+    ) {
+        let needs = ProcessDescriptors { admin, handover: true, foreign: 0 };
+        let DescriptorShares { clients, pool } = needs.divide(max).unwrap();
+        let limit = DescriptorLimit { max, reserve: needs.reserve() };
+        let each =
+            limit.per_process(clients as usize, processes) + limit.per_process(pool as usize, processes);
+        prop_assert!((each as u64 + needs.reserve()) * processes as u64 <= max);
+        prop_assert!(processes > 1 || each as u64 == clients + pool);
     }
 
-    /// All that may be open at a time is within the limit, and both kinds of connections have some.
+    /// The reserve and both shares together stay within the limit, and neither share is empty.
     #[test]
-    fn all_that_may_be_open_is_within_the_limit(
+    fn the_reserve_and_both_shares_stay_within_the_limit(
         limit in 0u64..70_000, admin: bool, handover: bool, foreign in 0u64..2000,
     ) {
-        let own = ProcessDescriptors { admin, handover, foreign };
-        match own.divide(limit) {
+        let needs = ProcessDescriptors { admin, handover, foreign };
+        match needs.divide(limit) {
             Ok(DescriptorShares { clients, pool }) => {
-                prop_assert!(own.reserve() + clients + pool <= limit);
+                prop_assert!(needs.reserve() + clients + pool <= limit);
                 prop_assert!(clients >= 2 && pool >= 1);
             }
-            Err(least) => prop_assert!(limit < least && own.divide(least).is_ok()),
+            Err(min_limit) => prop_assert!(limit < min_limit && needs.divide(min_limit).is_ok()),
         }
     }
 }
