--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,8 +1,9 @@
-//! Rates and what may be in hand, by the sections of the operator's file that set them, in injected time.
+//! Limits of the query rate and of the number of queries in flight, as set by sections of the operator's
+//! file. The caller passes the current time.
 //!
-//! One [`QueryLimiter`] owns all counts. A query that is let in holds a [`Permit`], and [`QueryLimiter::release`] is the one place where
-//! that comes back: it counts by its section's name, not by the limit, so that a limit that was changed or taken out of the
-//! file while its queries are in hand loses none and gets none too many.
+//! One [`QueryLimiter`] keeps all counts. Each admitted query holds a [`Permit`], which only
+//! [`QueryLimiter::release`] takes back. Queries are counted by the name of the section, not by the limit, so
+//! that the count stays correct if the limit is changed or removed from the file while queries are in flight.
 
 mod bucket;
 
@@ -12,54 +13,60 @@
 use plover_model::time::{Micros, SECOND};
 use std::collections::BTreeMap;
 
-/// Most buckets that are kept. A full one says nothing and is dropped first; beyond that, tenants share the last.
+/// Maximum number of token buckets that are kept. Full buckets carry no information and are removed first;
+/// beyond that, further tenants share one bucket.
 pub const MAX_BUCKETS: usize = 4096;
-/// Full ones are looked for so often at the most: new names without end must not cost a look at all of them each.
-const SWEEPS: Micros = SECOND / 10;
-/// Where a limit in hand says nothing of when room comes back, a client is asked back after so long.
-const IN_HAND_WAIT: Micros = SECOND / 2;
-
-/// What a query that was let in holds. It has to be given back.
+/// Minimum time between two searches for full buckets, so that an endless sequence of new tenants does not
+/// cost a search of all buckets each.
+const SWEEP_INTERVAL: Micros = SECOND / 10;
+/// Retry advice for a query that exceeds a limit of queries in flight, where it is unknown when one of them
+/// will end.
+const IN_FLIGHT_RETRY: Micros = SECOND / 2;
+
+/// Counts one admitted query. It must be released when the query ends.
 #[derive(Debug, Default, PartialEq, Eq)]
-#[must_use = "it has to be given back"]
+#[must_use = "it has to be released"]
 pub struct Permit(Option<Owner>);
 
 impl Permit {
-    /// The section that counts it, if one does.
+    /// Returns the section that counts the query; `None` if no section limits its queries in flight.
     pub fn owner(&self) -> Option<&Owner> {
         self.0.as_ref()
     }
 }
 
-/// A query that is not let in.
+/// The reason why a query is not admitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitExceeded {
-    /// The section whose limit it would pass.
+    /// The section whose limit is exceeded.
     pub owner: Owner,
-    /// The limit's keyword.
+    /// The keyword of the limit in the operator's file.
     pub limit: &'static str,
-    /// When to come back.
+    /// Time after which the client may retry.
     pub retry_after: Micros,
-    /// Whether it was its own rate, or one shared with other tenants, for want of room for more buckets.
+    /// Whether the tenant shares the exceeded rate with other tenants, because no more buckets are kept.
     pub shared: bool,
 }
 
-/// All counts of rates and of queries in hand.
+/// Admits queries within the limits that are set for them.
 #[derive(Debug)]
 pub struct QueryLimiter {
-    in_hand: BTreeMap<Owner, u32>,
+    /// Number of queries in flight by section.
+    in_flight: BTreeMap<Owner, u32>,
+    /// Rates by section and tenant.
     buckets: BTreeMap<(Owner, usize), (Rate, TokenBucket)>,
-    /// The bucket that all tenants share, of whatever section, who find no room for one of their own.
-    others: Option<(Rate, TokenBucket)>,
-    /// Before this, full buckets are not looked for again.
+    /// The bucket that tenants of all sections share once [`MAX_BUCKETS`] are in use.
+    overflow: Option<(Rate, TokenBucket)>,
+    /// Earliest time of the next search for full buckets.
     next_sweep: Micros,
-    /// Processes that are this broker together: each takes for all.
+    /// Number of processes of this broker. Each process takes tokens for all of them.
     processes: u32,
     seed: u64,
-    refused: u64,
+    /// Number of rejected queries, which varies the retry advice.
+    rejected: u64,
 }
 
-/// A number that looks like none before it (SplitMix64, Steele, Lea and Flood, OOPSLA 2014).
+/// Returns a pseudo-random number (SplitMix64; Steele, Lea and Flood, OOPSLA 2014).
 fn mix(n: u64) -> u64 {
     let z = n.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -68,21 +75,21 @@
 }
 
 impl QueryLimiter {
-    /// Nothing in hand; the seed spreads when clients are asked back.
+    /// Creates a limiter without queries in flight. The seed determines how retry advice is spread over time.
     pub fn new(seed: u64) -> Self {
         QueryLimiter {
-            in_hand: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             buckets: BTreeMap::new(),
-            others: None,
+            overflow: None,
             next_sweep: 0,
             processes: 1,
             seed,
-            refused: 0,
+            rejected: 0,
         }
     }
 
-    /// Lets a query of a tenant in, or says when it may come back. A query that its limit in hand turns away costs its
-    /// tenant no token.
+    /// Admits a query of a tenant, or returns when it may be retried. A query that is rejected by a limit of
+    /// queries in flight costs its tenant no token.
     pub fn admit(
         &mut self,
         now: Micros,
@@ -92,89 +99,92 @@
         self.admit_with_siblings(now, limits, tenant, |_| 0)
     }
 
-    /// So many processes are this broker from now on: while there are several, a query costs a token for each, so that
-    /// all together let no more in than one would.
+    /// Sets the number of processes of this broker. While there are several, a query costs a token for each
+    /// of them, so that all of them together admit no more than a single process would.
     pub fn set_process_count(&mut self, processes: u32) {
         self.processes = processes.max(1);
     }
 
-    /// The same, where other processes of this broker have so many queries in hand that count for a section.
+    /// Like [`QueryLimiter::admit`], but also counts the queries that sibling processes have in flight:
+    /// `siblings` returns their number for a section.
     pub fn admit_with_siblings(
         &mut self,
         now: Micros,
         limits: &QueryLimits,
         tenant: usize,
-        elsewhere: impl Fn(&Owner) -> u32,
+        siblings: impl Fn(&Owner) -> u32,
     ) -> Result<Permit, LimitExceeded> {
-        if let Some((owner, most)) = &limits.most_in_hand
-            && self.in_flight(owner).saturating_add(elsewhere(owner)) >= *most
+        if let Some((owner, max)) = &limits.most_in_hand
+            && self.in_flight(owner).saturating_add(siblings(owner)) >= *max
         {
-            return Err(self.refuse(owner, "most-in-hand", IN_HAND_WAIT, false));
+            return Err(self.reject(owner, "most-in-hand", IN_FLIGHT_RETRY, false));
         }
         if let Some((owner, rate)) = &limits.rate {
-            // A bucket that never holds so many would let none in at all.
+            // A cost beyond the burst would admit no query at all.
             let cost = self.processes.min(rate.burst);
             let bucket = self.bucket(now, owner, *rate, tenant);
             if !bucket.try_take(now, cost) {
                 let wait = bucket.time_until(cost).unwrap_or(SECOND);
                 let shared = !self.buckets.contains_key(&(owner.clone(), tenant));
-                return Err(self.refuse(owner, "rate", wait, shared));
+                return Err(self.reject(owner, "rate", wait, shared));
             }
         }
         let owner = limits.most_in_hand.as_ref().map(|(owner, _)| owner.clone());
         if let Some(owner) = &owner {
-            *self.in_hand.entry(owner.clone()).or_default() += 1;
+            *self.in_flight.entry(owner.clone()).or_default() += 1;
         }
         Ok(Permit(owner))
     }
 
-    /// Takes back what a query held.
+    /// Takes back the permit of a query that has ended.
     pub fn release(&mut self, permit: Permit) {
         let Some(owner) = permit.0 else { return };
-        match self.in_hand.get_mut(&owner) {
+        match self.in_flight.get_mut(&owner) {
             Some(n) if *n > 1 => *n -= 1,
-            Some(_) => _ = self.in_hand.remove(&owner),
-            None => debug_assert!(false, "{owner} gets back what it did not give"),
+            Some(_) => _ = self.in_flight.remove(&owner),
+            None => debug_assert!(false, "a permit of {owner} was released, but no query of it is in flight"),
         }
     }
 
-    /// Others begin at these tenants' indices: the tokens that the tenants before took are none of theirs.
+    /// Removes the buckets of these tenants, whose indices are reassigned: tokens that the previous tenants
+    /// took must not count for the new ones.
     pub fn remove_tenants(&mut self, tenants: &[usize]) {
         self.buckets.retain(|(_, tenant), _| !tenants.contains(tenant));
     }
 
-    /// Queries in hand that count for a section.
+    /// Returns the number of queries in flight that count for a section.
     pub fn in_flight(&self, owner: &Owner) -> u32 {
-        self.in_hand.get(owner).copied().unwrap_or(0)
+        self.in_flight.get(owner).copied().unwrap_or(0)
     }
 
-    /// Buckets that are kept.
+    /// Returns the number of buckets of single tenants.
     pub fn bucket_count(&self) -> usize {
         self.buckets.len()
     }
 
-    /// Those who are turned away together must not all come back together: up to half as long again.
-    fn refuse(&mut self, owner: &Owner, limit: &'static str, wait: Micros, shared: bool) -> LimitExceeded {
-        self.refused = self.refused.wrapping_add(1);
-        let spread = mix(self.seed ^ self.refused) % (wait / 2 + 1);
+    /// Rejects a query. The retry advice is extended by a pseudo-random time of up to half its length, so
+    /// that clients that are rejected together do not all retry together.
+    fn reject(&mut self, owner: &Owner, limit: &'static str, wait: Micros, shared: bool) -> LimitExceeded {
+        self.rejected = self.rejected.wrapping_add(1);
+        let spread = mix(self.seed ^ self.rejected) % (wait / 2 + 1);
         LimitExceeded { owner: owner.clone(), limit, retry_after: wait + spread, shared }
     }
 
     fn bucket(&mut self, now: Micros, owner: &Owner, rate: Rate, tenant: usize) -> &mut TokenBucket {
         let key = (owner.clone(), tenant);
-        let made = || (rate, TokenBucket::new(now, rate.burst, rate.per_second));
+        let full_bucket = || (rate, TokenBucket::new(now, rate.burst, rate.per_second));
         if !self.buckets.contains_key(&key) && self.buckets.len() >= MAX_BUCKETS && now >= self.next_sweep {
-            self.next_sweep = now + SWEEPS;
+            self.next_sweep = now + SWEEP_INTERVAL;
             self.buckets.retain(|_, (_, bucket)| !bucket.is_full(now));
         }
-        let (had, bucket) = if self.buckets.len() >= MAX_BUCKETS && !self.buckets.contains_key(&key) {
-            self.others.get_or_insert_with(made)
+        let (bucket_rate, bucket) = if self.buckets.len() >= MAX_BUCKETS && !self.buckets.contains_key(&key) {
+            self.overflow.get_or_insert_with(full_bucket)
         } else {
-            self.buckets.entry(key).or_insert_with(made)
+            self.buckets.entry(key).or_insert_with(full_bucket)
         };
-        if *had != rate {
+        if *bucket_rate != rate {
             bucket.reconfigure(now, rate.burst, rate.per_second);
-            *had = rate;
+            *bucket_rate = rate;
         }
         bucket
     }
