--- a/crates/repeats/src/lib.rs
+++ b/crates/repeats/src/lib.rs
@@ -1,190 +1,203 @@
-//! Idempotency keys whose parts were sent: whether a client's repeat may be served, until when, without a clock.
+//! A register of idempotency keys whose parts were sent. It decides whether a client's retry may be served,
+//! and until when a part may be sent again. The caller passes the current time.
 //!
-//! Data servers drop a repeated part of a keyed class for a window after its first attempt, and only so long. Within
-//! one query the decision module keeps that limit. It knows nothing of other queries: a client that goes away in the
-//! middle and asks again with the same key brings a query that is new to it. This register stands between. While a
-//! query of a key is in hand, or an attempt that was given up may still run, a repeat is put off; once the window of
-//! a part that may have run is over, nothing sends that part again, and a repeat has failed.
+//! Data servers drop a repeated part of a keyed class only within a window after its first attempt. Within
+//! one query the decision module observes this window, but it knows nothing of other queries: if a client
+//! disconnects and retries with the same key, the retry is a new query to it. This register connects the two.
+//! While a query with a key is open, or a cancelled attempt may still run, a retry is postponed. Once the
+//! window of a part that may have run is over, that part is not sent again, and a retry fails.
 //!
-//! A key is its owner's: of a tenant, in a class. Data servers know its text alone, and drop by that, so that two owners
-//! who chose one text get in each other's way. Neither is taken for the other's repeat; but a part of the one goes to no
-//! shard where the other's may have run, or may yet, until data servers have forgotten that, since they would drop it, or
-//! answer it with what the other wrote.
+//! A key belongs to its owner, which is a tenant in a class. Data servers know only the text of a key and
+//! drop repeats by it, so that owners with the same text interfere with each other. A query is never taken
+//! for a retry of another owner's query. But a part of one owner is not sent to a shard where a part of the
+//! other may have run, or may still run, until data servers have forgotten that part: they would drop the new
+//! one, or answer it with what the other owner wrote.
 //!
-//! Every part that was sent is told of ([`KeyRegister::attempt_sent`]) and so is its end ([`KeyRegister::attempt_ended`]), also after its
-//! query has ended. The register holds a bounded number of keys; when it is full, keys that were answered go first,
-//! and if there are none, a new key is put off rather than an old one forgotten.
+//! Every part that is sent is reported ([`KeyRegister::attempt_sent`]), and so is its end
+//! ([`KeyRegister::attempt_ended`]), even after its query has ended. The register holds a limited number of
+//! keys. When it is full, keys of answered queries are evicted first; if there are none, a new key is
+//! postponed rather than an old one evicted.
 
 use plover_model::query::Proof;
 use plover_model::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A key and whose it is.
+/// An idempotency key and its owner.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdempotencyKey {
-    /// As its client words it, and data servers hear it.
+    /// Text of the key as the client sent it and as it is sent to data servers.
     pub text: Rc<str>,
-    /// The tenant and the class, in whatever words; empty: not known, it may be anybody's.
+    /// Identifies the tenant and the class. An empty owner is unknown and may be any.
     pub owner: Rc<str>,
 }
 
 impl IdempotencyKey {
-    /// Whether two keys of one text may be one.
-    fn may_be(&self, other: &IdempotencyKey) -> bool {
+    /// Returns whether two keys with the same text may be the same key.
+    fn may_equal(&self, other: &IdempotencyKey) -> bool {
         self.owner == other.owner || self.owner.is_empty() || other.owner.is_empty()
     }
 }
 
-/// What becomes of a query that brings a key.
+/// Decision on a query with a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may be served.
+    /// The query may be served.
     Serve,
-    /// Another query of the key is in hand, or one of its attempts may still run: not before this moment.
+    /// Another query with the key is open, or one of its attempts may still run: retry after this time.
     Busy(Micros),
-    /// Another owner's key has the same text, and data servers may take a part for that one's: not before this moment.
+    /// A key of another owner has the same text, and data servers may confuse their parts: retry after this
+    /// time.
     Taken(Micros),
-    /// A part of it may have run, and its repeats are no longer dropped.
+    /// A part of an earlier query may have run, and data servers no longer drop its repeats.
     Over,
 }
 
-/// What another process of this broker does with a key, in the order in which it does it.
+/// What another process of this broker did with a key. Events of a key come in the order in which they
+/// occurred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyEvent {
-    /// It has a query of it in hand, until then at the latest.
+    /// A query with the key was opened.
     Opened {
-        /// When its client gives up.
+        /// Deadline of the query's client.
         until: Micros,
     },
-    /// It sends a part.
+    /// A part was sent.
     Sent {
-        /// The part's shard.
+        /// Shard of the part.
         shard: usize,
-        /// When.
+        /// Time of sending.
         at: Micros,
-        /// Until when it is waited for.
+        /// Time until which the answer is awaited.
         until: Micros,
     },
-    /// That attempt has ended.
+    /// An attempt ended.
     Ended {
-        /// The part's shard.
+        /// Shard of the part.
         shard: usize,
-        /// When.
+        /// Time of the end.
         at: Micros,
-        /// What that proves.
+        /// What the end proves about whether the part ran.
         proof: Proof,
     },
-    /// Its query has ended.
+    /// The query ended.
     Closed {
-        /// Whether with an answer.
+        /// Whether the client got an answer.
         answered: bool,
     },
 }
 
-/// What is known of one part under a key.
+/// State of one part under a key.
 #[derive(Clone, Debug, Default)]
 struct Part {
-    /// When the first attempt that may have run was sent.
-    first: Option<Micros>,
-    /// Attempts that are out.
-    out: u32,
-    /// Attempts of another process of this broker that are out: they end there, or with their time.
-    away: u32,
-    /// Attempts that are over and may have run.
-    ran: u32,
-    /// Until when one that was given up may still be begun.
-    until: Micros,
+    /// Time at which the first attempt that may have run was sent.
+    first_sent: Option<Micros>,
+    /// Number of attempts in flight in this process.
+    in_flight: u32,
+    /// Number of attempts in flight in another process of this broker. They end there, or when they are no
+    /// longer awaited.
+    sibling_in_flight: u32,
+    /// Number of attempts that have ended and may have run.
+    may_have_run: u32,
+    /// Time until which an attempt may still start to run: a cancelled one until it would no longer have been
+    /// awaited.
+    may_start_until: Micros,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Entry {
-    /// When the time of the query in hand is over, if one is in hand.
-    open: Option<Micros>,
-    /// The same for one that another process of this broker has in hand.
-    elsewhere: Option<Micros>,
-    /// The shards of the query in hand here.
+    /// Deadline of the open query in this process; `None` if none is open.
+    open_until: Option<Micros>,
+    /// Deadline of the open query in another process of this broker; `None` if none is open.
+    sibling_open_until: Option<Micros>,
+    /// Shards of the open query in this process.
     shards: Vec<usize>,
-    /// Whether the last query was answered: its client has no reason to ask again.
+    /// Whether the last query was answered, so that its client has no reason to retry.
     answered: bool,
     parts: BTreeMap<usize, Part>,
-    /// The shortest window that it was asked under, as far as that is known.
+    /// Shortest window of the queries with this key, as far as known.
     window: Option<Micros>,
-    /// Place in the order of forgetting.
-    forget_at: Micros,
+    /// Time at which the entry may be evicted; its position in [`KeyRegister::eviction_order`].
+    evict_at: Micros,
 }
 
 impl Entry {
-    /// Until when data servers may take this part under another owner's key for one of this.
-    fn holds(&self, shard: usize, usual: Micros) -> Option<Micros> {
-        let open = self.open.filter(|_| self.shards.contains(&shard)).max(self.elsewhere);
-        let window = self.window.unwrap_or(usual);
-        let ran = self.parts.get(&shard).map(|p| p.first.unwrap_or(0).max(p.until) + window);
+    /// Returns until when data servers may take a part of another owner's key for a part of this one; `None`
+    /// if nothing of this key goes or went to the shard.
+    fn interferes_until(&self, shard: usize, default_window: Micros) -> Option<Micros> {
+        let open = self.open_until.filter(|_| self.shards.contains(&shard)).max(self.sibling_open_until);
+        let window = self.window.unwrap_or(default_window);
+        let ran = self.parts.get(&shard).map(|p| p.first_sent.unwrap_or(0).max(p.may_start_until) + window);
         open.max(ran)
     }
 
-    /// It was asked under a window.
-    fn narrow(&mut self, window: Option<Micros>) {
+    /// Shortens the window to that of another query, if that is shorter.
+    fn shorten_window(&mut self, window: Option<Micros>) {
         self.window = self.window.into_iter().chain(window).min();
     }
 }
 
-/// The register.
+/// Register of idempotency keys.
 #[derive(Clone, Debug)]
 pub struct KeyRegister {
-    window: Micros,
-    keep: Micros,
-    most: usize,
-    /// Whether a part may have two attempts out at once.
-    copies: bool,
+    /// Window for keys of which only other processes have reported.
+    default_window: Micros,
+    /// Time after the end of the window for which clients may still retry.
+    retention: Micros,
+    max_keys: usize,
+    /// Whether a part may have two attempts in flight at once.
+    hedging: bool,
     entries: BTreeMap<IdempotencyKey, Entry>,
-    /// Entries that are not in hand, by when they may be forgotten.
-    order: BTreeSet<(Micros, IdempotencyKey)>,
-    /// Those of them that were answered.
-    spare: BTreeSet<(Micros, IdempotencyKey)>,
+    /// Entries without an open query in this process, by the time at which they may be evicted.
+    eviction_order: BTreeSet<(Micros, IdempotencyKey)>,
+    /// The entries among them whose queries were answered. They are evicted early when the register is full.
+    answered: BTreeSet<(Micros, IdempotencyKey)>,
 }
 
 impl KeyRegister {
-    /// A register where repeats are dropped for `window` after the first attempt, clients come back for `keep` after
-    /// that at the latest, and so many keys are held at the most. The window is for what only others have told of; each
-    /// query brings that of its class. A part has one attempt out at a time.
-    pub fn new(window: Micros, keep: Micros, most: usize) -> Self {
-        let (entries, order, spare) = Default::default();
-        KeyRegister { window, keep, most, copies: false, entries, order, spare }
+    /// Creates a register for at most `max_keys` keys. Data servers drop repeats for `default_window` after
+    /// the first attempt, and clients retry at most for `retention` after that. The default window is for
+    /// keys of which only other processes have reported: each query brings the window of its class. A part
+    /// has one attempt in flight at a time.
+    pub fn new(default_window: Micros, retention: Micros, max_keys: usize) -> Self {
+        let (entries, eviction_order, answered) = Default::default();
+        KeyRegister { default_window, retention, max_keys, hedging: false, entries, eviction_order, answered }
     }
 
-    /// Whether a part may have a second attempt out beside the first, from now on.
+    /// Sets whether a part may have a second attempt in flight beside the first.
     pub fn allow_hedging(&mut self, allow: bool) {
-        self.copies = allow;
+        self.hedging = allow;
     }
 
-    /// Takes up a query of this key with these shards, whose client waits until `give_up_at`, in a class whose repeats are
-    /// dropped for `window`; 0: never, so that what may have run is not sent again at all. Unless it may be served,
-    /// nothing is kept of it.
+    /// Opens a query with this key and these shards, whose client waits until `deadline`, in a class whose
+    /// repeats are dropped for `window`. If `window` is 0, repeats are not dropped, and a part that may have
+    /// run is not sent again at all. Unless the verdict is [`Verdict::Serve`], the register does not change
+    /// for this query.
     pub fn open(
         &mut self,
         now: Micros,
         key: &IdempotencyKey,
         shards: impl Iterator<Item = usize> + Clone,
-        give_up_at: Micros,
+        deadline: Micros,
         window: Micros,
     ) -> Verdict {
-        self.sweep(now);
+        self.evict_expired(now);
         let mut window = window;
         let (mut busy, mut taken) = (None, None);
-        for (other, entry) in self.alike(key) {
-            if !key.may_be(other) {
-                taken = taken.max(shards.clone().filter_map(|s| entry.holds(s, self.window)).max());
+        for (other, entry) in self.entries_with_text(key) {
+            if !key.may_equal(other) {
+                taken = taken
+                    .max(shards.clone().filter_map(|s| entry.interferes_until(s, self.default_window)).max());
                 continue;
             }
             window = entry.window.map_or(window, |w| w.min(window));
-            if let Some(until) = entry.open.or(entry.elsewhere.filter(|until| *until > now)) {
+            if let Some(until) = entry.open_until.or(entry.sibling_open_until.filter(|until| *until > now)) {
                 return Verdict::Busy(until);
             }
             for part in shards.clone().filter_map(|s| entry.parts.get(&s)) {
-                if part.out > 0 || part.until > now {
-                    busy = busy.max(Some(part.until));
-                } else if part.first.is_some_and(|first| now >= first + window) {
+                if part.in_flight > 0 || part.may_start_until > now {
+                    busy = busy.max(Some(part.may_start_until));
+                } else if part.first_sent.is_some_and(|first| now >= first + window) {
                     return Verdict::Over;
                 }
             }
@@ -195,222 +208,237 @@
         if let Some(until) = taken.filter(|until| *until > now) {
             return Verdict::Taken(until);
         }
-        if !self.entries.contains_key(key) && self.entries.len() >= self.most {
-            match self.spare.pop_first().or_else(|| self.order.first().cloned()) {
-                Some((at, old)) if self.entries.get(&old).is_some_and(|e| e.answered) => {
-                    self.forget(at, &old)
-                }
+        if !self.entries.contains_key(key) && self.entries.len() >= self.max_keys {
+            match self.answered.pop_first().or_else(|| self.eviction_order.first().cloned()) {
+                Some((at, old)) if self.entries.get(&old).is_some_and(|e| e.answered) => self.evict(at, &old),
                 Some((at, _)) => return Verdict::Busy(at),
-                None => return Verdict::Busy(give_up_at),
+                None => return Verdict::Busy(deadline),
             }
         }
-        let nobodys = IdempotencyKey { owner: "".into(), ..key.clone() };
-        self.entries.get_mut(&nobodys).into_iter().for_each(|entry| entry.narrow(Some(window)));
+        let without_owner = IdempotencyKey { owner: "".into(), ..key.clone() };
+        self.entries.get_mut(&without_owner).into_iter().for_each(|entry| entry.shorten_window(Some(window)));
         let entry = self.entries.entry(key.clone()).or_default();
-        self.order.remove(&(entry.forget_at, key.clone()));
-        self.spare.remove(&(entry.forget_at, key.clone()));
-        entry.open = Some(give_up_at);
+        self.eviction_order.remove(&(entry.evict_at, key.clone()));
+        self.answered.remove(&(entry.evict_at, key.clone()));
+        entry.open_until = Some(deadline);
         entry.answered = false;
-        entry.narrow(Some(window));
+        entry.shorten_window(Some(window));
         entry.shards.extend(shards);
         Verdict::Serve
     }
 
-    /// All that is known of keys of this text.
-    fn alike(&self, key: &IdempotencyKey) -> impl Iterator<Item = (&IdempotencyKey, &Entry)> {
-        let (text, from) = (key.text.clone(), IdempotencyKey { owner: "".into(), ..key.clone() });
-        self.entries.range(from..).take_while(move |(other, _)| other.text == text)
+    /// Returns the entries of all keys with the text of this one, of any owner.
+    fn entries_with_text(&self, key: &IdempotencyKey) -> impl Iterator<Item = (&IdempotencyKey, &Entry)> {
+        let (text, first) = (key.text.clone(), IdempotencyKey { owner: "".into(), ..key.clone() });
+        self.entries.range(first..).take_while(move |(other, _)| other.text == text)
     }
 
-    /// Whether the part may be sent at this moment: not once the window of an attempt that may have run is over, beside one
-    /// that is out only where second copies are allowed, and not where it may be taken for another owner's.
+    /// Returns whether a part may be sent now. It may not once the window of an attempt that may have run is
+    /// over, nor while another attempt is in flight unless hedging is allowed, nor while data servers may
+    /// take it for a part of another owner.
     pub fn may_send(&self, now: Micros, key: &IdempotencyKey, shard: usize) -> bool {
-        self.alike(key).all(|(other, entry)| {
-            if !key.may_be(other) {
-                return entry.holds(shard, self.window).is_none_or(|until| until <= now);
+        self.entries_with_text(key).all(|(other, entry)| {
+            if !key.may_equal(other) {
+                return entry.interferes_until(shard, self.default_window).is_none_or(|until| until <= now);
             }
-            let window = entry.window.unwrap_or(self.window);
-            let may =
-                |p: &Part| (p.out == 0 || self.copies) && p.first.is_none_or(|first| now < first + window);
-            entry.parts.get(&shard).is_none_or(may)
+            let window = entry.window.unwrap_or(self.default_window);
+            let allowed = |p: &Part| {
+                (p.in_flight == 0 || self.hedging) && p.first_sent.is_none_or(|first| now < first + window)
+            };
+            entry.parts.get(&shard).is_none_or(allowed)
         })
     }
 
-    /// When repeats of a part are no longer dropped; `None`: nothing of it was sent that may have run.
+    /// Returns the time from which data servers no longer drop repeats of a part; `None` if no attempt at it
+    /// may have run.
     pub fn window_end(&self, key: &IdempotencyKey, shard: usize) -> Option<Micros> {
-        let same = self.alike(key).filter(|(other, _)| key.may_be(other));
-        let ends =
-            |entry: &Entry| Some(entry.parts.get(&shard)?.first? + entry.window.unwrap_or(self.window));
-        same.filter_map(|(_, entry)| ends(entry)).min()
+        let same_key = self.entries_with_text(key).filter(|(other, _)| key.may_equal(other));
+        let end_of = |entry: &Entry| {
+            Some(entry.parts.get(&shard)?.first_sent? + entry.window.unwrap_or(self.default_window))
+        };
+        same_key.filter_map(|(_, entry)| end_of(entry)).min()
     }
 
-    /// An attempt at a part goes out, and is waited for until `until`.
+    /// Records that an attempt at a part is sent, whose answer is awaited until `until`.
     pub fn attempt_sent(&mut self, now: Micros, key: &IdempotencyKey, shard: usize, until: Micros) {
         let Some(entry) = self.entries.get_mut(key) else { return };
         let part = entry.parts.entry(shard).or_default();
-        part.first.get_or_insert(now);
-        part.out += 1;
-        part.until = part.until.max(until);
+        part.first_sent.get_or_insert(now);
+        part.in_flight += 1;
+        part.may_start_until = part.may_start_until.max(until);
     }
 
-    /// An attempt has ended.
+    /// Records that an attempt has ended, and whether that proves that it ran.
     pub fn attempt_ended(&mut self, now: Micros, key: &IdempotencyKey, shard: usize, proof: Proof) {
         let Some(entry) = self.entries.get_mut(key) else { return };
         let Some(part) = entry.parts.get_mut(&shard) else { return };
-        part.out = part.out.saturating_sub(1);
+        part.in_flight = part.in_flight.saturating_sub(1);
         match proof {
-            Proof::NeverRan if part.out == 0 && part.away == 0 && part.ran == 0 => {
+            Proof::NeverRan
+                if part.in_flight == 0 && part.sibling_in_flight == 0 && part.may_have_run == 0 =>
+            {
                 entry.parts.remove(&shard);
             }
             Proof::NeverRan => {}
             Proof::Ran => {
-                part.ran += 1;
-                // A copy beside it may run for as long as it is waited for.
-                if part.out == 0 {
-                    part.until = now;
+                part.may_have_run += 1;
+                // A hedged attempt may run for as long as it is awaited.
+                if part.in_flight == 0 {
+                    part.may_start_until = now;
                 }
             }
-            Proof::MayRun => part.ran += 1,
+            Proof::MayRun => part.may_have_run += 1,
         }
     }
 
-    /// The query of this key has ended; true: with an answer, which its client takes for an end.
+    /// Records that the query with this key has ended. `answered` means that its client got an answer and
+    /// will not retry.
     pub fn close(&mut self, now: Micros, key: &IdempotencyKey, answered: bool) {
         let Some(entry) = self.entries.get_mut(key) else { return };
-        entry.open = None;
+        entry.open_until = None;
         entry.shards = Vec::new();
         entry.answered = answered;
-        self.file(now, key);
+        self.schedule_eviction(now, key);
     }
 
-    /// Says by when an entry that is not in hand here may be forgotten, and forgets one that says nothing.
-    fn file(&mut self, now: Micros, key: &IdempotencyKey) {
-        let Some(entry) = self.entries.get_mut(key).filter(|e| e.open.is_none()) else { return };
-        self.order.remove(&(entry.forget_at, key.clone()));
-        self.spare.remove(&(entry.forget_at, key.clone()));
-        if entry.parts.is_empty() && entry.elsewhere.is_none() {
+    /// Sets the time at which an entry without an open query in this process may be evicted, and removes an
+    /// entry that contains no information.
+    fn schedule_eviction(&mut self, now: Micros, key: &IdempotencyKey) {
+        let Some(entry) = self.entries.get_mut(key).filter(|e| e.open_until.is_none()) else { return };
+        self.eviction_order.remove(&(entry.evict_at, key.clone()));
+        self.answered.remove(&(entry.evict_at, key.clone()));
+        if entry.parts.is_empty() && entry.sibling_open_until.is_none() {
             self.entries.remove(key);
             return;
         }
-        let last = entry.parts.values().map(|p| p.first.unwrap_or(now).max(p.until)).max();
-        let last = last.max(entry.elsewhere).unwrap_or(now);
-        entry.forget_at = last + entry.window.unwrap_or(self.window) + self.keep;
-        self.order.insert((entry.forget_at, key.clone()));
-        if entry.answered && entry.elsewhere.is_none() {
-            self.spare.insert((entry.forget_at, key.clone()));
+        let last = entry.parts.values().map(|p| p.first_sent.unwrap_or(now).max(p.may_start_until)).max();
+        let last = last.max(entry.sibling_open_until).unwrap_or(now);
+        entry.evict_at = last + entry.window.unwrap_or(self.default_window) + self.retention;
+        self.eviction_order.insert((entry.evict_at, key.clone()));
+        if entry.answered && entry.sibling_open_until.is_none() {
+            self.answered.insert((entry.evict_at, key.clone()));
         }
     }
 
-    /// Another process of this broker has done something with a key, whose repeats are dropped for `window` if it tells. Such
-    /// entries are kept beyond the most, up to twice as many: the other holds no more of them itself. Beyond that, keys that
-    /// were answered make room. False: there was none, and nothing is known of this key.
+    /// Applies an event of another process of this broker. Repeats of the key are dropped for `window` if the
+    /// process reported one. Entries of other processes are kept beyond the maximum number of keys, up to
+    /// twice that number, since the other process has no more of them itself. Beyond that, keys of answered
+    /// queries are evicted. Returns `false`, and records nothing, if there are none to evict.
     pub fn apply(
         &mut self,
         now: Micros,
         key: &IdempotencyKey,
         window: Option<Micros>,
-        heard: KeyEvent,
+        event: KeyEvent,
     ) -> bool {
-        if !self.entries.contains_key(key) && self.entries.len() >= 2 * self.most {
-            self.sweep(now);
-            if self.entries.len() >= 2 * self.most {
-                let Some((at, old)) = self.spare.pop_first() else { return false };
-                self.forget(at, &old);
+        if !self.entries.contains_key(key) && self.entries.len() >= 2 * self.max_keys {
+            self.evict_expired(now);
+            if self.entries.len() >= 2 * self.max_keys {
+                let Some((at, old)) = self.answered.pop_first() else { return false };
+                self.evict(at, &old);
             }
         }
         let entry = self.entries.entry(key.clone()).or_default();
-        entry.narrow(window);
-        match heard {
+        entry.shorten_window(window);
+        match event {
             KeyEvent::Opened { until } => {
-                entry.elsewhere = Some(until);
+                entry.sibling_open_until = Some(until);
                 entry.answered = false;
             }
             KeyEvent::Sent { shard, at, until } => {
                 let part = entry.parts.entry(shard).or_default();
-                part.first = Some(part.first.map_or(at, |first| first.min(at)));
-                part.until = part.until.max(until);
-                part.away += 1;
+                part.first_sent = Some(part.first_sent.map_or(at, |first| first.min(at)));
+                part.may_start_until = part.may_start_until.max(until);
+                part.sibling_in_flight += 1;
             }
             KeyEvent::Ended { shard, at, proof } => {
                 if let Some(part) = entry.parts.get_mut(&shard) {
-                    part.away = part.away.saturating_sub(1);
+                    part.sibling_in_flight = part.sibling_in_flight.saturating_sub(1);
                     match proof {
-                        Proof::NeverRan if part.out + part.away + part.ran == 0 => {
+                        Proof::NeverRan
+                            if part.in_flight + part.sibling_in_flight + part.may_have_run == 0 =>
+                        {
                             _ = entry.parts.remove(&shard)
                         }
                         Proof::NeverRan => {}
                         Proof::Ran => {
-                            part.ran += 1;
-                            if part.out + part.away == 0 {
-                                part.until = at;
+                            part.may_have_run += 1;
+                            if part.in_flight + part.sibling_in_flight == 0 {
+                                part.may_start_until = at;
                             }
                         }
-                        Proof::MayRun => part.ran += 1,
+                        Proof::MayRun => part.may_have_run += 1,
                     }
                 }
             }
             KeyEvent::Closed { answered } => {
-                entry.elsewhere = None;
+                entry.sibling_open_until = None;
                 entry.answered |= answered;
             }
         }
-        self.file(now, key);
+        self.schedule_eviction(now, key);
         true
     }
 
-    /// All that is known, as another process of this broker has to hear it.
-    pub fn replay(&self, mut to: impl FnMut(&IdempotencyKey, Option<Micros>, KeyEvent)) {
+    /// Reports the contents of the register as events for another process of this broker.
+    pub fn replay(&self, mut report: impl FnMut(&IdempotencyKey, Option<Micros>, KeyEvent)) {
         for (key, entry) in &self.entries {
-            if let Some(until) = entry.open {
-                to(key, entry.window, KeyEvent::Opened { until });
+            if let Some(until) = entry.open_until {
+                report(key, entry.window, KeyEvent::Opened { until });
             }
             for (&shard, part) in &entry.parts {
-                let Some(at) = part.first else { continue };
-                to(key, entry.window, KeyEvent::Sent { shard, at, until: part.until });
-                // One that is out is told of when it ends; the others have.
-                if part.out == 0 {
-                    to(key, entry.window, KeyEvent::Ended { shard, at: part.until, proof: Proof::MayRun });
+                let Some(at) = part.first_sent else { continue };
+                report(key, entry.window, KeyEvent::Sent { shard, at, until: part.may_start_until });
+                // The end of an attempt in flight is reported when it occurs. All other attempts have ended.
+                if part.in_flight == 0 {
+                    report(
+                        key,
+                        entry.window,
+                        KeyEvent::Ended { shard, at: part.may_start_until, proof: Proof::MayRun },
+                    );
                 }
             }
-            if entry.open.is_none() {
-                to(key, entry.window, KeyEvent::Closed { answered: entry.answered });
+            if entry.open_until.is_none() {
+                report(key, entry.window, KeyEvent::Closed { answered: entry.answered });
             }
         }
     }
 
-    /// Other times, for what comes from now on.
-    pub fn reconfigure(&mut self, window: Micros, keep: Micros) {
-        self.window = window;
-        self.keep = keep;
+    /// Changes the default window and the retention for later calls.
+    pub fn reconfigure(&mut self, default_window: Micros, retention: Micros) {
+        self.default_window = default_window;
+        self.retention = retention;
     }
 
-    /// Keys that are held.
+    /// Returns the number of keys in the register.
     pub fn key_count(&self) -> usize {
         self.entries.len()
     }
 
-    fn sweep(&mut self, now: Micros) {
-        while let Some((at, key)) = self.order.first().filter(|(at, _)| *at <= now).cloned() {
-            self.forget_unless_out(now, at, &key);
+    fn evict_expired(&mut self, now: Micros) {
+        while let Some((at, key)) = self.eviction_order.first().filter(|(at, _)| *at <= now).cloned() {
+            self.evict_unless_in_flight(now, at, &key);
         }
     }
 
-    /// An attempt that is out for longer than anybody waits should not be there; it must not be forgotten all the same.
-    fn forget_unless_out(&mut self, now: Micros, at: Micros, key: &IdempotencyKey) {
-        let Some(entry) = self.entries.get_mut(key).filter(|e| e.parts.values().any(|p| p.out > 0)) else {
-            return self.forget(at, key);
+    /// Evicts an entry unless it has an attempt in flight. No attempt should be in flight for longer than it
+    /// is awaited, but if one is, its key must be kept.
+    fn evict_unless_in_flight(&mut self, now: Micros, at: Micros, key: &IdempotencyKey) {
+        let Some(entry) = self.entries.get_mut(key).filter(|e| e.parts.values().any(|p| p.in_flight > 0))
+        else {
+            return self.evict(at, key);
         };
-        entry.forget_at = now + self.window;
-        self.order.remove(&(at, key.clone()));
-        self.order.insert((entry.forget_at, key.clone()));
-        if self.spare.remove(&(at, key.clone())) {
-            self.spare.insert((entry.forget_at, key.clone()));
+        entry.evict_at = now + self.default_window;
+        self.eviction_order.remove(&(at, key.clone()));
+        self.eviction_order.insert((entry.evict_at, key.clone()));
+        if self.answered.remove(&(at, key.clone())) {
+            self.answered.insert((entry.evict_at, key.clone()));
         }
     }
 
-    fn forget(&mut self, at: Micros, key: &IdempotencyKey) {
-        self.order.remove(&(at, key.clone()));
-        self.spare.remove(&(at, key.clone()));
+    fn evict(&mut self, at: Micros, key: &IdempotencyKey) {
+        self.eviction_order.remove(&(at, key.clone()));
+        self.answered.remove(&(at, key.clone()));
         self.entries.remove(key);
     }
 }
