--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,9 +1,9 @@
-//! Limits of the query rate and of the number of queries in flight, as set by sections of the operator's
+//! Limits of the query rate and of the number of open queries, as set by sections of the operator's
 //! file. The caller passes the current time.
 //!
 //! One [`QueryLimiter`] keeps all counts. Each admitted query holds a [`Permit`], which only
 //! [`QueryLimiter::release`] takes back. Queries are counted by the name of the section, not by the limit, so
-//! that the count stays correct if the limit is changed or removed from the file while queries are in flight.
+//! that the count stays correct if the limit is changed or removed from the file while queries are open.
 
 mod bucket;
 
@@ -19,9 +19,9 @@
 /// Minimum time between two searches for full buckets, so that an endless sequence of new tenants does not
 /// cost a search of all buckets each.
 const SWEEP_INTERVAL: Micros = SECOND / 10;
-/// Retry advice for a query that exceeds a limit of queries in flight, where it is unknown when one of them
+/// Retry advice for a query that exceeds a limit of open queries, where it is unknown when one of them
 /// will end.
-const IN_FLIGHT_RETRY: Micros = SECOND / 2;
+const OPEN_QUERIES_RETRY: Micros = SECOND / 2;
 
 /// Counts one admitted query. It must be released when the query ends.
 #[derive(Debug, Default, PartialEq, Eq)]
@@ -29,7 +29,7 @@
 pub struct Permit(Option<Owner>);
 
 impl Permit {
-    /// Returns the section that counts the query; `None` if no section limits its queries in flight.
+    /// Returns the section that counts the query; `None` if no section limits its open queries.
     pub fn owner(&self) -> Option<&Owner> {
         self.0.as_ref()
     }
@@ -51,8 +51,8 @@
 /// Admits queries within the limits that are set for them.
 #[derive(Debug)]
 pub struct QueryLimiter {
-    /// Number of queries in flight by section.
-    in_flight: BTreeMap<Owner, u32>,
+    /// Number of open queries by section.
+    open_queries: BTreeMap<Owner, u32>,
     /// Rates by section and tenant.
     buckets: BTreeMap<(Owner, usize), (Rate, TokenBucket)>,
     /// The bucket that tenants of all sections share once [`MAX_BUCKETS`] are in use.
@@ -75,10 +75,10 @@
 }
 
 impl QueryLimiter {
-    /// Creates a limiter without queries in flight. The seed determines how retry advice is spread over time.
+    /// Creates a limiter without open queries. The seed determines how retry advice is spread over time.
     pub fn new(seed: u64) -> Self {
         QueryLimiter {
-            in_flight: BTreeMap::new(),
+            open_queries: BTreeMap::new(),
             buckets: BTreeMap::new(),
             overflow: None,
             next_sweep: 0,
@@ -89,7 +89,7 @@
     }
 
     /// Admits a query of a tenant, or returns when it may be retried. A query that is rejected by a limit of
-    /// queries in flight costs its tenant no token.
+    /// open queries costs its tenant no token.
     pub fn admit(
         &mut self,
         now: Micros,
@@ -115,9 +115,9 @@
         siblings: impl Fn(&Owner) -> u32,
     ) -> Result<Permit, LimitExceeded> {
         if let Some((owner, max)) = &limits.most_in_hand
-            && self.in_flight(owner).saturating_add(siblings(owner)) >= *max
+            && self.open_queries(owner).saturating_add(siblings(owner)) >= *max
         {
-            return Err(self.reject(owner, "most-in-hand", IN_FLIGHT_RETRY, false));
+            return Err(self.reject(owner, "most-in-hand", OPEN_QUERIES_RETRY, false));
         }
         if let Some((owner, rate)) = &limits.rate {
             // A cost beyond the burst would admit no query at all.
@@ -131,7 +131,7 @@
         }
         let owner = limits.most_in_hand.as_ref().map(|(owner, _)| owner.clone());
         if let Some(owner) = &owner {
-            *self.in_flight.entry(owner.clone()).or_default() += 1;
+            *self.open_queries.entry(owner.clone()).or_default() += 1;
         }
         Ok(Permit(owner))
     }
@@ -139,10 +139,10 @@
     /// Takes back the permit of a query that has ended.
     pub fn release(&mut self, permit: Permit) {
         let Some(owner) = permit.0 else { return };
-        match self.in_flight.get_mut(&owner) {
+        match self.open_queries.get_mut(&owner) {
             Some(n) if *n > 1 => *n -= 1,
-            Some(_) => _ = self.in_flight.remove(&owner),
-            None => debug_assert!(false, "a permit of {owner} was released, but no query of it is in flight"),
+            Some(_) => _ = self.open_queries.remove(&owner),
+            None => debug_assert!(false, "a permit of {owner} was released, but no query of it is open"),
         }
     }
 
@@ -152,9 +152,9 @@
         self.buckets.retain(|(_, tenant), _| !tenants.contains(tenant));
     }
 
-    /// Returns the number of queries in flight that count for a section.
-    pub fn in_flight(&self, owner: &Owner) -> u32 {
-        self.in_flight.get(owner).copied().unwrap_or(0)
+    /// Returns the number of open queries that count for a section.
+    pub fn open_queries(&self, owner: &Owner) -> u32 {
+        self.open_queries.get(owner).copied().unwrap_or(0)
     }
 
     /// Returns the number of buckets of single tenants.
--- a/crates/limits/src/tests.rs
+++ b/crates/limits/src/tests.rs
@@ -5,7 +5,7 @@
     "class lookup".into()
 }
 
-fn max_in_flight(max: u32) -> QueryLimits {
+fn max_open(max: u32) -> QueryLimits {
     QueryLimits { most_in_hand: Some((owner(), max)), ..QueryLimits::default() }
 }
 
@@ -14,23 +14,21 @@
 }
 
 #[test]
-fn queries_in_flight_are_limited_until_released() {
+fn open_queries_are_limited_until_released() {
     let mut limiter = QueryLimiter::new(1);
-    let mut permits: Vec<Permit> = (0..2).map(|_| limiter.admit(0, &max_in_flight(2), 0).unwrap()).collect();
-    let rejected = limiter.admit(0, &max_in_flight(2), 0).unwrap_err();
+    let mut permits: Vec<Permit> = (0..2).map(|_| limiter.admit(0, &max_open(2), 0).unwrap()).collect();
+    let rejected = limiter.admit(0, &max_open(2), 0).unwrap_err();
     assert_eq!((rejected.limit, &rejected.owner), ("most-in-hand", &owner()));
     limiter.release(permits.pop().unwrap());
-    permits.push(limiter.admit(0, &max_in_flight(2), 0).unwrap());
-    // The limit falls below the number in flight, then to 0, and is then removed from the file: the count
-    // stays correct.
-    assert!(
-        limiter.admit(0, &max_in_flight(1), 0).is_err() && limiter.admit(0, &max_in_flight(0), 0).is_err()
-    );
+    permits.push(limiter.admit(0, &max_open(2), 0).unwrap());
+    // The limit falls below the number of open queries, then to 0, and is then removed from the file: the
+    // count stays correct.
+    assert!(limiter.admit(0, &max_open(1), 0).is_err() && limiter.admit(0, &max_open(0), 0).is_err());
     let unlimited = limiter.admit(0, &QueryLimits::default(), 0).unwrap();
     limiter.release(unlimited);
     permits.into_iter().for_each(|permit| limiter.release(permit));
-    assert_eq!(limiter.in_flight(&owner()), 0);
-    assert!(limiter.admit(0, &max_in_flight(0), 0).is_err(), "a limit of 0 admits no query");
+    assert_eq!(limiter.open_queries(&owner()), 0);
+    assert!(limiter.admit(0, &max_open(0), 0).is_err(), "a limit of 0 admits no query");
 }
 
 #[test]
@@ -95,7 +93,7 @@
 }
 
 proptest! {
-    /// However limits change, the queries in flight of a section are those admitted and not released.
+    /// However limits change, the open queries of a section are those admitted and not released.
     #[test]
     fn every_permit_is_released_once(steps in prop::collection::vec((0u8..3, 0u32..4, 0usize..3), 0..200)) {
         let mut limiter = QueryLimiter::new(3);
@@ -107,7 +105,7 @@
                 n => QueryLimits { most_in_hand: Some((owners[n].clone(), max)), ..QueryLimits::default() },
             };
             if kind > 0 {
-                let before = owners.get(n).map_or(0, |o| limiter.in_flight(o));
+                let before = owners.get(n).map_or(0, |o| limiter.open_queries(o));
                 let permit = limiter.admit(0, &limits, 0);
                 prop_assert_eq!(permit.is_ok(), n == 2 || before < max);
                 permits.extend(permit.ok().map(|p| (Some(n).filter(|n| *n < 2), p)));
@@ -117,7 +115,7 @@
             }
             for (n, owner) in owners.iter().enumerate() {
                 let count = permits.iter().filter(|(o, _)| *o == Some(n)).count();
-                prop_assert_eq!(limiter.in_flight(owner) as usize, count);
+                prop_assert_eq!(limiter.open_queries(owner) as usize, count);
             }
         }
     }
@@ -136,9 +134,9 @@
     assert!((2..5).all(|processes| processes * admitted(processes) <= 5));
     assert!(admitted(9) >= 1, "a burst of less than the processes lets one in all the same");
     let mut limiter = QueryLimiter::new(1);
-    assert!(limiter.admit_with_siblings(0, &max_in_flight(2), 0, |_| 2).is_err());
-    let permit = limiter.admit_with_siblings(0, &max_in_flight(2), 0, |_| 1).unwrap();
-    assert!(limiter.admit_with_siblings(0, &max_in_flight(2), 0, |_| 1).is_err());
+    assert!(limiter.admit_with_siblings(0, &max_open(2), 0, |_| 2).is_err());
+    let permit = limiter.admit_with_siblings(0, &max_open(2), 0, |_| 1).unwrap();
+    assert!(limiter.admit_with_siblings(0, &max_open(2), 0, |_| 1).is_err());
     limiter.release(permit);
 }
 
--- a/crates/operator-file/src/sections.rs
+++ b/crates/operator-file/src/sections.rs
@@ -215,7 +215,7 @@
                 sets.attempts = Some(Setting { value: values::whole(word, &(1..=100))? as u32, at })
             }
             "most-in-hand" => {
-                sets.most_in_hand =
+                sets.max_open =
                     Some(Setting { value: values::whole(word, &(0..=1_000_000))? as u32, at });
             }
             _ => sets.rate = Some(Setting { value: rate(word, second)?, at }),
--- a/crates/operator-file/tests/files.rs
+++ b/crates/operator-file/tests/files.rs
@@ -90,7 +90,7 @@
     let settings = read("f", SECTIONED).unwrap();
     assert!(SECTION_KEYWORDS.iter().all(|k| SECTIONED.contains(k.name)), "a keyword is not tested");
     let table = &settings.table;
-    assert_eq!(table.defaults.most_in_hand.as_ref().map(|s| (s.value, s.at.line)), Some((500, 3)));
+    assert_eq!(table.defaults.max_open.as_ref().map(|s| (s.value, s.at.line)), Some((500, 3)));
     let lookup = &table.classes[0];
     assert_eq!(
         (lookup.name.as_str(), lookup.at.line, &SECTIONED[lookup.at.span.clone()]),
--- a/crates/routes/src/compare.rs
+++ b/crates/routes/src/compare.rs
@@ -1,40 +1,43 @@
-//! How two routes stand to each other: the file's order decides between them, which nobody may have meant.
+//! Compares the matchers of two routes. If both match a query, the order of the file decides, which may be
+//! unintended.
 
 use crate::Matcher;
-use crate::matching::begins;
+use crate::matching::has_prefix;
 
-/// What a later route is to an earlier one.
+/// Relation of a later route to an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Relation {
     /// No query matches both.
     Disjoint,
-    /// Some queries match both: the earlier one gets them.
+    /// Some queries match both, and take the earlier route.
     Overlaps,
-    /// All that match the later one match the earlier one: it never gets any.
+    /// All queries that match the later route match the earlier one, so that the later one is never used.
     Unreachable,
 }
 
-/// The class that all paths of a matcher name, if they name one: a path's first segment is its class.
-pub(crate) fn class_of(m: &Matcher) -> Option<&str> {
-    let by_path = || m.path.as_deref()?.trim_start_matches('/').split('/').next().filter(|s| !s.is_empty());
-    m.class.as_deref().or_else(by_path)
+/// Returns the class of all queries that can match, if there is only one. The first segment of a path names
+/// the class.
+pub(crate) fn class_of(matcher: &Matcher) -> Option<&str> {
+    let by_path =
+        || matcher.path.as_deref()?.trim_start_matches('/').split('/').next().filter(|s| !s.is_empty());
+    matcher.class.as_deref().or_else(by_path)
 }
 
-/// How a later route stands to an earlier one.
+/// Returns the relation of a later route to an earlier one.
 pub fn relation(earlier: &Matcher, later: &Matcher) -> Relation {
     let differ = |a: Option<&str>, b: Option<&str>| matches!((a, b), (Some(a), Some(b)) if a != b);
-    let paths = match (&earlier.path, &later.path) {
-        (Some(a), Some(b)) => begins(a, b) || begins(b, a),
+    let paths_overlap = match (&earlier.path, &later.path) {
+        (Some(a), Some(b)) => has_prefix(a, b) || has_prefix(b, a),
         _ => true,
     };
-    if !paths
+    if !paths_overlap
         || differ(class_of(earlier), class_of(later))
         || differ(earlier.tenant.as_deref(), later.tenant.as_deref())
     {
         return Relation::Disjoint;
     }
-    // A field may be there twice: two values of it are no contradiction.
-    let path = earlier.path.as_ref().is_none_or(|a| later.path.as_ref().is_some_and(|b| begins(b, a)));
+    // A header field may occur twice, so that conditions with two values of a field are no contradiction.
+    let path = earlier.path.as_ref().is_none_or(|a| later.path.as_ref().is_some_and(|b| has_prefix(b, a)));
     let class = earlier.class.as_deref().is_none_or(|a| class_of(later) == Some(a));
     let tenant = earlier.tenant.as_ref().is_none_or(|a| later.tenant.as_ref() == Some(a));
     let fields = earlier
@@ -67,20 +70,25 @@
     }
 
     proptest! {
-        /// What is said of two routes holds for every query there can be of a small world.
+        /// The relation of two routes agrees with how they match every query of a small set.
         #[test]
-        fn what_is_said_of_two_routes_holds_for_queries(earlier in matcher(), later in matcher()) {
-            let said = relation(&earlier, &later);
+        fn the_relation_agrees_with_matching(earlier in matcher(), later in matcher()) {
+            let relation = relation(&earlier, &later);
             for path in ["/a", "/a/b", "/a/b/c", "/b", "/b/a", "/ab"] {
                 let class = path.trim_start_matches('/').split('/').next().unwrap();
                 for tenant in ["a", "b", "c"] {
-                    for fields in [&[][..], &[("x", "a")], &[("x", "b")], &[("x", "a"), ("x", "b"), ("y", "a"), ("y", "b")]] {
+                    for fields in [
+                        &[][..],
+                        &[("x", "a")],
+                        &[("x", "b")],
+                        &[("x", "a"), ("x", "b"), ("y", "a"), ("y", "b")],
+                    ] {
                         let mut headers = HeaderMap::new();
                         fields.iter().for_each(|(n, v)| { headers.append(*n, v.parse().unwrap()); });
-                        let facts = QueryAttributes { path, class, tenant, headers: &headers };
-                        let (first, second) = (earlier.matches(&facts), later.matches(&facts));
-                        prop_assert!(said != Relation::Disjoint || !(first && second), "{facts:?}");
-                        prop_assert!(said != Relation::Unreachable || first || !second, "{facts:?}");
+                        let query = QueryAttributes { path, class, tenant, headers: &headers };
+                        let (first, second) = (earlier.matches(&query), later.matches(&query));
+                        prop_assert!(relation != Relation::Disjoint || !(first && second), "{query:?}");
+                        prop_assert!(relation != Relation::Unreachable || first || !second, "{query:?}");
                     }
                 }
             }
--- a/crates/routes/src/explain.rs
+++ b/crates/routes/src/explain.rs
@@ -1,25 +1,25 @@
-//! Which line decided which value.
+//! Explains which line of the operator's file sets which value for a query.
 
 use crate::{QueryAttributes, RouteTable, Setting};
 use plover_model::query::{Owner, Rate};
 use plover_model::time::{MILLI, Micros, SECOND};
 
-/// One value that holds for a query.
+/// A value in effect for a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EffectiveValue {
-    /// The keyword.
+    /// Keyword of the value in the file.
     pub keyword: &'static str,
-    /// The value as it would be written; `None`: as the platform has it.
+    /// The value as it would be written in the file; `None` if the platform's settings apply.
     pub value: Option<String>,
-    /// The section and line that set it.
+    /// The section and the line that set it.
     pub source: Option<(Owner, usize)>,
 }
 
-/// A time as it would be written in the file.
+/// Formats a time as it would be written in the file.
 pub fn format_time(time: Micros) -> String {
     let units = [("s", SECOND), ("ms", MILLI)];
-    let unit = units.iter().find(|(_, u)| time >= *u && time.is_multiple_of(*u));
-    unit.map_or(format!("{time}us"), |(name, u)| format!("{}{name}", time / u))
+    let unit = units.iter().find(|(_, size)| time >= *size && time.is_multiple_of(*size));
+    unit.map_or(format!("{time}us"), |(name, size)| format!("{}{name}", time / size))
 }
 
 fn format_rate(rate: Rate) -> String {
@@ -27,26 +27,26 @@
 }
 
 impl RouteTable {
-    /// All that holds for a query, and why; and the name of its route.
-    pub fn explain(&self, facts: &QueryAttributes<'_>) -> (Option<&str>, Vec<EffectiveValue>) {
-        let route = self.routes.iter().find(|r| r.matcher.matches(facts));
-        let chain = self.chain(facts.class, route);
-        fn line<T: Clone>(
+    /// Returns the name of a query's route, and all values in effect for the query with their sources.
+    pub fn explain(&self, query: &QueryAttributes<'_>) -> (Option<&str>, Vec<EffectiveValue>) {
+        let route = self.routes.iter().find(|r| r.matcher.matches(query));
+        let chain = self.chain(query.class, route);
+        fn effective<T: Clone>(
             keyword: &'static str,
             found: Option<(&Setting<T>, Owner)>,
-            show: impl Fn(T) -> String,
+            format: impl Fn(T) -> String,
         ) -> EffectiveValue {
-            let value = found.as_ref().map(|(set, _)| show(set.value.clone()));
-            EffectiveValue { keyword, value, source: found.map(|(set, owner)| (owner, set.at.line)) }
+            let value = found.as_ref().map(|(setting, _)| format(setting.value.clone()));
+            EffectiveValue { keyword, value, source: found.map(|(setting, scope)| (scope, setting.at.line)) }
         }
-        let lines = vec![
-            line("time-out", chain.find(|o| &o.time_out), format_time),
-            line("attempt-time-out", chain.find(|o| &o.attempt_time_out), format_time),
-            line("attempts", chain.find(|o| &o.attempts), |n| n.to_string()),
-            line("most-in-hand", chain.find(|o| &o.most_in_hand), |n| n.to_string()),
-            line("rate", chain.find(|o| &o.rate), format_rate),
+        let values = vec![
+            effective("time-out", chain.find(|o| &o.time_out), format_time),
+            effective("attempt-time-out", chain.find(|o| &o.attempt_time_out), format_time),
+            effective("attempts", chain.find(|o| &o.attempts), |n| n.to_string()),
+            effective("most-in-hand", chain.find(|o| &o.max_open), |n| n.to_string()),
+            effective("rate", chain.find(|o| &o.rate), format_rate),
         ];
-        (route.map(|r| r.name.as_str()), lines)
+        (route.map(|r| r.name.as_str()), values)
     }
 }
 
@@ -56,15 +56,17 @@
     use http::HeaderMap;
 
     #[test]
-    fn every_value_names_the_line_that_set_it() {
+    fn every_value_names_the_line_that_sets_it() {
         let table = crate::tests::table();
-        let facts =
+        let query =
             QueryAttributes { path: "/lookup", class: "lookup", tenant: "t", headers: &HeaderMap::new() };
-        let (route, lines) = table.explain(&facts);
+        let (route, values) = table.explain(&query);
         assert_eq!(route, Some("slow"));
-        let seen: Vec<_> = lines
+        let found: Vec<_> = values
             .iter()
-            .map(|l| (l.keyword, l.value.as_deref(), l.source.as_ref().map(|(s, n)| (&**s, *n))))
+            .map(|v| {
+                (v.keyword, v.value.as_deref(), v.source.as_ref().map(|(scope, line)| (&**scope, *line)))
+            })
             .collect();
         let expected = [
             ("time-out", Some("3us"), Some(("route slow", 5))),
@@ -73,7 +75,7 @@
             ("most-in-hand", Some("9"), Some(("defaults", 1))),
             ("rate", None, None),
         ];
-        assert_eq!(seen, expected);
+        assert_eq!(found, expected);
         assert_eq!([1, 1500, 2_000_000, 0].map(format_time), ["1us", "1500us", "2s", "0us"]);
     }
 }
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,8 +1,9 @@
-//! Which limits hold for a query, by what an operator wrote: defaults, then its class, then its route.
+//! Determines the limits for a query from the operator's file: those of its route, then of its class, then
+//! the defaults.
 //!
-//! A [`RouteTable`] is the file's sections as they stand, each value with its place, so that whoever finds fault with one or
-//! explains it can name the line. [`RouteTable::compile`] makes of it what is asked for each query: the first route of the
-//! file that matches, and one shared [`QueryLimits`] for each route and class.
+//! A [`RouteTable`] contains the sections of the file, each value with its location, so that errors and
+//! explanations can name the line. [`RouteTable::compile`] turns it into the form that is used for each
+//! query: the first matching route of the file, and one shared [`QueryLimits`] for each route and class.
 
 mod compare;
 mod explain;
@@ -17,90 +18,90 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// Most routes of a file: each is tried in turn for each query.
+/// Maximum number of routes in a file. All of them may have to be tried for each query.
 pub const MAX_ROUTES: usize = 256;
 
-/// Where something stands in the operator's file.
+/// Location in the operator's file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SourceLocation {
-    /// In bytes.
+    /// Range of bytes.
     pub span: Range<usize>,
-    /// The line, from 1.
+    /// Line, counted from 1.
     pub line: usize,
 }
 
-/// A value and where it was set.
+/// A value and the location where it is set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Setting<T> {
-    /// The value.
+    /// The value that is set.
     pub value: T,
-    /// Its word in the file.
+    /// Location of the word that sets it.
     pub at: SourceLocation,
 }
 
-/// What one section overrides.
+/// Values that one section sets; `None` for each that it does not set.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Overrides {
-    /// `time-out`
+    /// `time-out`: time within which a query is answered.
     pub time_out: Option<Setting<Micros>>,
-    /// `attempt-time-out`
+    /// `attempt-time-out`: time after which an attempt at a part is cancelled.
     pub attempt_time_out: Option<Setting<Micros>>,
-    /// `attempts`
+    /// `attempts`: maximum number of attempts at a part.
     pub attempts: Option<Setting<u32>>,
-    /// `most-in-hand`
-    pub most_in_hand: Option<Setting<u32>>,
-    /// `rate`
+    /// `most-in-hand`: maximum number of open queries to which the section applies.
+    pub max_open: Option<Setting<u32>>,
+    /// `rate`: maximum rate of queries for each tenant.
     pub rate: Option<Setting<Rate>>,
 }
 
-/// A class's section.
+/// Section for a class.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassSection {
-    /// The class.
+    /// Name of the class.
     pub name: String,
-    /// Its name's place.
+    /// Location of the name.
     pub at: SourceLocation,
-    /// What it overrides.
+    /// Values for queries of the class.
     pub overrides: Overrides,
 }
 
-/// A route's section.
+/// Section for a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteSection {
-    /// Its name.
+    /// Name of the route.
     pub name: String,
-    /// Its name's place.
+    /// Location of the name.
     pub at: SourceLocation,
-    /// Which queries it is for.
+    /// Conditions on the queries of the route.
     pub matcher: Matcher,
-    /// What it overrides.
+    /// Values for queries of the route.
     pub overrides: Overrides,
 }
 
-/// All sections, in the file's order.
+/// All sections, in the order of the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouteTable {
-    /// What holds for all queries.
+    /// Values for all queries.
     pub defaults: Overrides,
-    /// By class.
+    /// Sections for classes.
     pub classes: Vec<ClassSection>,
-    /// By route.
+    /// Sections for routes.
     pub routes: Vec<RouteSection>,
 }
 
-/// The sections that may set something for a query, the one that goes first first.
+/// The sections that apply to a query, in descending precedence.
 #[derive(Clone, Copy, Debug)]
 pub struct SectionChain<'a> {
-    /// The route.
+    /// Section of the query's route, if a route matches.
     pub route: Option<&'a RouteSection>,
-    /// The class.
+    /// Section of the query's class, if there is one.
     pub class: Option<&'a ClassSection>,
-    /// The defaults.
+    /// Defaults for all queries.
     pub defaults: &'a Overrides,
 }
 
 impl<'a> SectionChain<'a> {
-    /// The value that holds, and the section that set it.
+    /// Returns the value in effect and the section that sets it; `None` if no section does.
     pub fn find<T>(
         self,
         of: impl Fn(&'a Overrides) -> &'a Option<Setting<T>>,
@@ -109,52 +110,55 @@
         let class =
             || self.class.and_then(|c| Some((of(&c.overrides).as_ref()?, format!("class {}", c.name))));
         let defaults = || Some((of(self.defaults).as_ref()?, "defaults".to_owned()));
-        route.or_else(class).or_else(defaults).map(|(set, owner)| (set, owner.into()))
+        route.or_else(class).or_else(defaults).map(|(setting, scope)| (setting, scope.into()))
     }
 
-    /// All that holds.
+    /// Returns all values in effect.
     pub fn limits(self) -> QueryLimits {
         QueryLimits {
-            time_out: self.find(|o| &o.time_out).map(|(set, _)| set.value),
-            attempt_time_out: self.find(|o| &o.attempt_time_out).map(|(set, _)| set.value),
-            attempts: self.find(|o| &o.attempts).map(|(set, _)| set.value),
-            most_in_hand: self.find(|o| &o.most_in_hand).map(|(set, owner)| (owner, set.value)),
-            rate: self.find(|o| &o.rate).map(|(set, owner)| (owner, set.value)),
+            time_out: self.find(|o| &o.time_out).map(|(setting, _)| setting.value),
+            attempt_time_out: self.find(|o| &o.attempt_time_out).map(|(setting, _)| setting.value),
+            attempts: self.find(|o| &o.attempts).map(|(setting, _)| setting.value),
+            most_in_hand: self.find(|o| &o.max_open).map(|(setting, scope)| (scope, setting.value)),
+            rate: self.find(|o| &o.rate).map(|(setting, scope)| (scope, setting.value)),
         }
     }
 }
 
 impl RouteTable {
-    /// The sections for a class, and a route.
+    /// Returns the sections that apply to a class and a route.
     pub fn chain<'a>(&'a self, class: &str, route: Option<&'a RouteSection>) -> SectionChain<'a> {
         let class = self.classes.iter().find(|c| c.name == class);
         SectionChain { route, class, defaults: &self.defaults }
     }
 
-    /// What is asked for each query, where the classes have these names, in the order of their indices.
+    /// Compiles the table for classes with these names, in the order of their indices.
     pub fn compile(&self, classes: &[String]) -> CompiledRoutes {
-        let of = |route: Option<&RouteSection>| -> Vec<Arc<QueryLimits>> {
+        let limits_by_class = |route: Option<&RouteSection>| -> Vec<Arc<QueryLimits>> {
             classes.iter().map(|class| Arc::new(self.chain(class, route).limits())).collect()
         };
-        let routes = self.routes.iter().map(|r| (r.matcher.clone(), of(Some(r)))).collect();
-        CompiledRoutes { routes, classes: of(None), none: Arc::default() }
+        let routes = self.routes.iter().map(|r| (r.matcher.clone(), limits_by_class(Some(r)))).collect();
+        CompiledRoutes { routes, classes: limits_by_class(None), unlimited: Arc::default() }
     }
 }
 
-/// A table, ready to be asked.
+/// A route table in the form that is used for each query.
 #[derive(Clone, Debug, Default)]
 pub struct CompiledRoutes {
+    /// Matcher of each route and its limits by class, in the order of the file.
     routes: Vec<(Matcher, Vec<Arc<QueryLimits>>)>,
+    /// Limits by class for queries without a route.
     classes: Vec<Arc<QueryLimits>>,
-    none: Arc<QueryLimits>,
+    /// Limits for queries of an unknown class.
+    unlimited: Arc<QueryLimits>,
 }
 
 impl CompiledRoutes {
-    /// What holds for a query of the class of this index.
-    pub fn limits_for(&self, class: usize, facts: &QueryAttributes<'_>) -> &Arc<QueryLimits> {
-        let route = self.routes.iter().find(|(matcher, _)| matcher.matches(facts));
+    /// Returns the limits for a query of the class with this index.
+    pub fn limits_for(&self, class: usize, query: &QueryAttributes<'_>) -> &Arc<QueryLimits> {
+        let route = self.routes.iter().find(|(matcher, _)| matcher.matches(query));
         let by_class = route.map_or(&self.classes, |(_, by_class)| by_class);
-        by_class.get(class).unwrap_or(&self.none)
+        by_class.get(class).unwrap_or(&self.unlimited)
     }
 }
 
@@ -163,7 +167,7 @@
     use super::*;
     use http::HeaderMap;
 
-    fn set<T>(value: T, line: usize) -> Option<Setting<T>> {
+    fn setting<T>(value: T, line: usize) -> Option<Setting<T>> {
         Some(Setting { value, at: SourceLocation { span: 0..0, line } })
     }
 
@@ -171,45 +175,45 @@
         let class = ClassSection {
             name: "lookup".to_owned(),
             at: SourceLocation::default(),
-            overrides: Overrides { time_out: set(2, 2), attempts: set(3, 3), ..Overrides::default() },
+            overrides: Overrides { time_out: setting(2, 2), attempts: setting(3, 3), ..Overrides::default() },
         };
         let route = RouteSection {
             name: "slow".to_owned(),
             at: SourceLocation::default(),
             matcher: Matcher { tenant: Some("t".to_owned()), ..Matcher::default() },
-            overrides: Overrides { time_out: set(3, 5), ..Overrides::default() },
+            overrides: Overrides { time_out: setting(3, 5), ..Overrides::default() },
         };
-        let defaults = Overrides { time_out: set(1, 1), most_in_hand: set(9, 1), ..Overrides::default() };
+        let defaults = Overrides { time_out: setting(1, 1), max_open: setting(9, 1), ..Overrides::default() };
         RouteTable { defaults, classes: vec![class], routes: vec![route] }
     }
 
     #[test]
-    fn a_route_goes_before_a_class_and_a_class_before_the_defaults() {
+    fn a_route_overrides_a_class_and_a_class_overrides_the_defaults() {
         let routes = table().compile(&["lookup".to_owned(), "ranking".to_owned()]);
         let headers = HeaderMap::new();
-        let of = |class: usize, tenant: &str| {
-            let facts = QueryAttributes {
+        let limits_of = |class: usize, tenant: &str| {
+            let query = QueryAttributes {
                 path: "/x",
                 class: ["lookup", "ranking"][class],
                 tenant,
                 headers: &headers,
             };
-            let limits = routes.limits_for(class, &facts);
-            let owner = limits.most_in_hand.clone().unwrap().0;
-            (limits.time_out, limits.attempts, owner.to_string())
+            let limits = routes.limits_for(class, &query);
+            let scope = limits.most_in_hand.clone().unwrap().0;
+            (limits.time_out, limits.attempts, scope.to_string())
         };
-        let shared = "defaults".to_owned();
-        assert_eq!(of(0, "t"), (Some(3), Some(3), shared.clone()));
-        assert_eq!(of(0, "u"), (Some(2), Some(3), shared.clone()));
-        assert_eq!(of(1, "t"), (Some(3), None, shared.clone()));
-        assert_eq!(of(1, "u"), (Some(1), None, shared));
+        let scope = "defaults".to_owned();
+        assert_eq!(limits_of(0, "t"), (Some(3), Some(3), scope.clone()));
+        assert_eq!(limits_of(0, "u"), (Some(2), Some(3), scope.clone()));
+        assert_eq!(limits_of(1, "t"), (Some(3), None, scope.clone()));
+        assert_eq!(limits_of(1, "u"), (Some(1), None, scope));
     }
 
     #[test]
-    fn without_sections_nothing_is_set() {
+    fn without_sections_no_limit_is_set() {
         let routes = RouteTable::default().compile(&["lookup".to_owned()]);
-        let facts =
+        let query =
             QueryAttributes { path: "/lookup", class: "lookup", tenant: "t", headers: &HeaderMap::new() };
-        assert_eq!(**routes.limits_for(0, &facts), QueryLimits::default());
+        assert_eq!(**routes.limits_for(0, &query), QueryLimits::default());
     }
 }
