--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -105,7 +105,7 @@
         self.processes = processes.max(1);
     }
 
-    /// Like [`QueryLimiter::admit`], but also counts the queries that sibling processes have in flight:
+    /// Like [`QueryLimiter::admit`], but also counts the queries that sibling processes have open:
     /// `siblings` returns their number for a section.
     pub fn admit_with_siblings(
         &mut self,
--- a/crates/ranges/src/fleet.rs
+++ b/crates/ranges/src/fleet.rs
@@ -1,92 +1,93 @@
-//! What was measured of ranges, nodes and links. Units stand in the names; each figure has an age, and none is trusted
-//! without it.
+//! Measured properties of ranges, nodes and links. Each set of measurements has an age, without which none is
+//! trusted.
 
 use crate::map::{NodeName, RangeId};
 use plover_model::time::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How a node stands.
+/// Status of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum NodeStatus {
-    /// It serves at its full pace.
+    /// Serves at its full pace.
     Warm,
-    /// It has started a short while ago.
+    /// Started recently and has not warmed up yet.
     Cold,
-    /// It finishes what it holds and leaves.
+    /// Finishes its work in progress and then leaves.
     Leaving,
-    /// Nothing was heard of it for a while.
+    /// Has not reported for some time.
     #[serde(rename = "Unheard")]
     Unreachable,
 }
 
-/// One node.
+/// Measured properties of a node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Node {
-    /// Its zone.
+    /// Name of the node's zone.
     pub zone: String,
-    /// Its kind, as the operator names machines.
+    /// Kind of machine, as the operator names it.
     pub kind: String,
-    /// How it stands.
+    /// Current status.
     #[serde(rename = "standing")]
     pub status: NodeStatus,
-    /// Memory for data, in bytes.
+    /// Memory for data in bytes.
     pub memory: u64,
-    /// Disk for data, in bytes.
+    /// Disk space for data in bytes.
     pub disk: u64,
-    /// Bytes a second that its disk reads.
+    /// Read rate of the disk in bytes per second.
     pub read_rate: u64,
-    /// Bytes a second that its disk writes.
+    /// Write rate of the disk in bytes per second.
     pub write_rate: u64,
-    /// Bytes a second of its own connection to all others.
+    /// Rate of the node's network interface in bytes per second, to all other nodes together.
     pub net_rate: u64,
-    /// Work that it does in a second, in microseconds of a core of pace 1: cores times pace times a million.
+    /// Work per second, in microseconds of a core of pace 1: number of cores times pace times a million.
     pub work_rate: u64,
-    /// Age of the newest of these figures.
+    /// Age of the newest of these measurements.
     pub age: Micros,
 }
 
-/// What a range asks of each of its holders together.
+/// Load that a range puts on all of its replicas together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RangeLoad {
-    /// Its data, in bytes.
+    /// Size of the range's data in bytes.
     pub bytes: u64,
-    /// Bytes a second by which it grows; under 0 it shrinks.
+    /// Growth of the data in bytes per second. A negative value means that it shrinks.
     pub growth: f64,
-    /// Queries a second over all replicas.
+    /// Queries per second over all replicas.
     pub rate: f64,
-    /// Work of one query, in microseconds of a core of pace 1.
+    /// Work of one query in microseconds of a core of pace 1.
     pub work: f64,
-    /// Share of its bytes that queries touch again and again, from 0 to 1: what memory is for.
+    /// Share of the data, from 0 to 1, that queries access repeatedly and that should be kept in memory.
     pub hot_share: f64,
-    /// Bytes read from disk by a query that finds its data in no memory.
+    /// Bytes that a query reads from disk if its data is not in memory.
     pub cold_read: f64,
-    /// Age of the newest of these figures.
+    /// Age of the newest of these measurements.
     pub age: Micros,
 }
 
-/// The way between two zones.
+/// Network link between two zones.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Link {
-    /// Time there and back.
+    /// Round-trip time.
     pub round_trip: Micros,
-    /// Bytes a second, both ways together.
+    /// Rate in bytes per second, in both directions together.
     pub rate: u64,
 }
 
-/// All that is known of a fleet beside its map.
+/// Measured properties of a fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fleet {
-    /// Its nodes.
+    /// Nodes by name.
     pub nodes: BTreeMap<NodeName, Node>,
-    /// What its ranges ask for.
+    /// Load of each range.
     pub loads: BTreeMap<RangeId, RangeLoad>,
-    /// Links between zones, by the two names in order. Within a zone only the nodes' own connections bind.
+    /// Links between zones, by both names in ascending order. Within a zone, only the nodes' own network
+    /// rates apply.
     pub links: BTreeMap<(String, String), Link>,
 }
 
 impl Fleet {
-    /// The link between two zones; `None` within one, or where none was measured.
+    /// Returns the link between two zones; `None` if they are the same or the link was not measured.
     pub fn link(&self, one: &str, other: &str) -> Option<&Link> {
         let (low, high) = if one <= other { (one, other) } else { (other, one) };
         self.links.get(&(low.to_owned(), high.to_owned()))
--- a/crates/ranges/src/key.rs
+++ b/crates/ranges/src/key.rs
@@ -1,30 +1,30 @@
-//! Keys and half-open ranges of them.
+//! Keys and half-open ranges of keys.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 
-/// Longest key, in bytes.
+/// Maximum length of a key in bytes.
 pub const MAX_KEY_LENGTH: usize = 256;
 
-/// A key: at most [`MAX_KEY_LENGTH`] bytes, ordered bytewise. The empty key is the least.
+/// A key of at most [`MAX_KEY_LENGTH`] bytes. Keys are ordered bytewise, and the empty key is the smallest.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "Vec<u8>", into = "Vec<u8>")]
 pub struct Key(Arc<[u8]>);
 
 impl Key {
-    /// The key of these bytes; `None` where there are too many.
+    /// Creates a key of these bytes. Returns `None` if there are too many.
     pub fn new(bytes: impl AsRef<[u8]>) -> Option<Key> {
         let bytes = bytes.as_ref();
         (bytes.len() <= MAX_KEY_LENGTH).then(|| Key(bytes.into()))
     }
 
-    /// The least key.
+    /// Returns the smallest key.
     pub fn smallest() -> Key {
         Key(Arc::from([]))
     }
 
-    /// Its bytes.
+    /// Returns the bytes of the key.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
@@ -33,7 +33,8 @@
 impl TryFrom<Vec<u8>> for Key {
     type Error = String;
     fn try_from(bytes: Vec<u8>) -> Result<Key, String> {
-        Key::new(&bytes).ok_or_else(|| format!("a key of {} bytes; {MAX_KEY_LENGTH} at most", bytes.len()))
+        Key::new(&bytes)
+            .ok_or_else(|| format!("key of {} bytes is longer than {MAX_KEY_LENGTH}", bytes.len()))
     }
 }
 
@@ -55,7 +56,7 @@
     }
 }
 
-/// Keys from one on, up to but without another; never empty.
+/// A non-empty half-open range of keys.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "(Key, Option<Key>)", into = "(Key, Option<Key>)")]
 pub struct KeyRange {
@@ -64,48 +65,50 @@
 }
 
 impl KeyRange {
-    /// The keys from `from` on, up to but without `to` (`None`: to the end of the key space). `None` where that is none.
-    pub fn new(from: Key, to: Option<Key>) -> Option<KeyRange> {
-        to.as_ref().is_none_or(|to| from < *to).then_some(KeyRange { start: from, end: to })
+    /// Creates the range from `start` up to but excluding `end`, or up to the end of the key space if `end`
+    /// is `None`. Returns `None` if the range would be empty.
+    pub fn new(start: Key, end: Option<Key>) -> Option<KeyRange> {
+        end.as_ref().is_none_or(|end| start < *end).then_some(KeyRange { start, end })
     }
 
-    /// All keys.
+    /// Returns the range of all keys.
     pub fn full() -> KeyRange {
         KeyRange { start: Key::smallest(), end: None }
     }
 
-    /// The first key in it.
+    /// Returns the first key of the range.
     pub fn start(&self) -> &Key {
         &self.start
     }
 
-    /// The first key after it; `None`: it reaches to the end of the key space.
+    /// Returns the first key after the range; `None` if the range extends to the end of the key space.
     pub fn end(&self) -> Option<&Key> {
         self.end.as_ref()
     }
 
-    /// Whether it holds this key.
+    /// Returns whether the range contains this key.
     pub fn contains(&self, key: &Key) -> bool {
-        self.start <= *key && self.end.as_ref().is_none_or(|to| key < to)
+        self.start <= *key && self.end.as_ref().is_none_or(|end| key < end)
     }
 
-    /// Whether it holds all of that range.
+    /// Returns whether the range contains all keys of the other.
     pub fn covers(&self, other: &KeyRange) -> bool {
-        let end = match (&self.end, &other.end) {
+        let ends_within = match (&self.end, &other.end) {
             (None, _) => true,
             (Some(_), None) => false,
-            (Some(own), Some(other)) => other <= own,
+            (Some(end), Some(other_end)) => other_end <= end,
         };
-        self.start <= other.start && end
+        self.start <= other.start && ends_within
     }
 
-    /// Whether both hold a key.
+    /// Returns whether both ranges have keys in common.
     pub fn overlaps(&self, other: &KeyRange) -> bool {
-        let before = |to: &Option<Key>, from: &Key| to.as_ref().is_some_and(|to| to <= from);
-        !before(&self.end, &other.start) && !before(&other.end, &self.start)
+        let ends_before = |end: &Option<Key>, start: &Key| end.as_ref().is_some_and(|end| end <= start);
+        !ends_before(&self.end, &other.start) && !ends_before(&other.end, &self.start)
     }
 
-    /// Its two parts at this key; `None` where the key cuts nothing off.
+    /// Splits the range in two at this key. Returns `None` if one of them would be empty or the key is
+    /// outside.
     pub fn split(&self, at: &Key) -> Option<(KeyRange, KeyRange)> {
         let inside = self.contains(at) && *at > self.start;
         inside.then(|| {
@@ -114,17 +117,18 @@
         })
     }
 
-    /// The range of this one and the one that follows it; `None` where that does not begin where this ends.
+    /// Merges the range with the one that follows it. Returns `None` if the other does not start where this
+    /// one ends.
     pub fn merge(&self, next: &KeyRange) -> Option<KeyRange> {
-        let touch = self.end.as_ref() == Some(&next.start);
-        touch.then(|| KeyRange { start: self.start.clone(), end: next.end.clone() })
+        let adjacent = self.end.as_ref() == Some(&next.start);
+        adjacent.then(|| KeyRange { start: self.start.clone(), end: next.end.clone() })
     }
 }
 
 impl TryFrom<(Key, Option<Key>)> for KeyRange {
     type Error = String;
-    fn try_from((from, to): (Key, Option<Key>)) -> Result<KeyRange, String> {
-        KeyRange::new(from, to).ok_or_else(|| "a range that ends before it begins".to_owned())
+    fn try_from((start, end): (Key, Option<Key>)) -> Result<KeyRange, String> {
+        KeyRange::new(start, end).ok_or_else(|| "key range ends at or before its start".to_owned())
     }
 }
 
@@ -137,7 +141,7 @@
 impl fmt::Display for KeyRange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.end {
-            Some(to) => write!(f, "[{}, {})", self.start, to),
+            Some(end) => write!(f, "[{}, {})", self.start, end),
             None => write!(f, "[{}, end)", self.start),
         }
     }
--- a/crates/ranges/src/lib.rs
+++ b/crates/ranges/src/lib.rs
@@ -1,8 +1,9 @@
-//! Key ranges, the map that places them on nodes, and what is known of nodes and links. Plain values: nothing here does
-//! I/O, reads a clock or decides what should move.
+//! Key ranges, the map that assigns them to nodes, and measurements of nodes and links. These are plain
+//! values: nothing here does I/O, reads a clock or decides what to move.
 //!
-//! [`key`] has keys and half-open ranges of them; [`map`] has the map, which by its type covers the whole key space
-//! without gap or overlap; [`fleet`] has what was measured of ranges, nodes and links.
+//! - [`key`] contains keys and half-open ranges of keys.
+//! - [`map`] contains the map, whose type guarantees that it covers the key space without gaps or overlaps.
+//! - [`fleet`] contains the measured properties of ranges, nodes and links.
 
 pub mod fleet;
 pub mod key;
--- a/crates/ranges/src/map.rs
+++ b/crates/ranges/src/map.rs
@@ -1,5 +1,5 @@
-//! The map of key ranges to nodes. Each change gives a new map with the next version, and the ranges that it touches
-//! their next epoch: a part that was sent under an older one can be told so.
+//! The map of key ranges to nodes. Each change yields a new map with the next version, and gives the changed
+//! ranges their next epoch, so that a part that was sent for an older epoch can be recognized.
 
 use crate::key::{Key, KeyRange};
 use serde::{Deserialize, Serialize};
@@ -8,12 +8,12 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Most ranges in a map.
+/// Maximum number of ranges in a map.
 pub const MAX_RANGES: usize = 1 << 20;
-/// Most replicas of a range.
+/// Maximum number of replicas of a range.
 pub const MAX_REPLICAS: usize = 64;
 
-/// Name of a node; the same at every broker, kept over restarts.
+/// Name of a node. It is the same at every broker and survives restarts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeName(pub Arc<str>);
 
@@ -29,15 +29,16 @@
     }
 }
 
-/// Name of a range; never used twice. A split gives two new ones, a merge one.
+/// Identifier of a range, which is never reused. A split issues two new identifiers, a merge one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RangeId(pub u64);
 
-/// Grows by one with each change of a range's holders or bounds. A new range begins one above those it was made of.
+/// Epoch of a range. It increases by one with each change of the range's replicas. A range that results from
+/// a split or a merge starts one above the highest epoch of the ranges it was made of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch(pub u64);
 
-/// Grows by one with each change of the map.
+/// Version of a map. It increases by one with each change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MapVersion(pub u64);
 
@@ -47,165 +48,181 @@
     }
 }
 
-/// One range and who holds it.
+/// A range and the nodes that hold it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeAssignment {
-    /// Its name.
+    /// Identifier of the range.
     pub id: RangeId,
-    /// Its keys.
+    /// Keys of the range.
     pub range: KeyRange,
-    /// Its epoch.
+    /// Epoch of the range.
     pub epoch: Epoch,
-    /// Its holders: at least one, at most [`MAX_REPLICAS`].
+    /// Nodes that hold the range: at least one and at most [`MAX_REPLICAS`].
     pub replicas: BTreeSet<NodeName>,
 }
 
-/// Why a map, or a change of one, is refused.
+/// Error of an invalid map or of an invalid change of a map.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MapError {
-    /// No range of this name is there.
+    /// The map has no range with this identifier.
     #[error("{0} is not in the map")]
     UnknownRange(RangeId),
-    /// The key cuts nothing off.
-    #[error("{0} cuts nothing off {1}")]
+    /// The key is the first key of the range or outside of it.
+    #[error("{0} does not split {1}")]
     SplitOutside(Key, KeyRange),
-    /// The second does not follow the first.
-    #[error("{0} and {1} are no neighbours")]
+    /// The second range does not follow the first.
+    #[error("{0} and {1} are not adjacent")]
     NotAdjacent(RangeId, RangeId),
-    /// Ranges that are merged have different holders.
-    #[error("{0} and {1} have different holders")]
+    /// Ranges to be merged have different replicas.
+    #[error("{0} and {1} have different replicas")]
     DifferentReplicas(RangeId, RangeId),
-    /// No holder, or too many.
+    /// The range has no replica, or too many.
     #[error("{0} would have {1} replicas; 1 to {MAX_REPLICAS} are allowed")]
     ReplicaCount(RangeId, usize),
-    /// Too many ranges.
-    #[error("over {MAX_RANGES} ranges")]
+    /// The map has too many ranges.
+    #[error("more than {MAX_RANGES} ranges")]
     TooManyRanges,
-    /// Keys that no range holds, or two do, before this one.
+    /// Keys before this range belong to no range, or to two.
     #[error("a gap or an overlap before {0}")]
     GapOrOverlap(KeyRange),
-    /// The last range does not reach to the end, or there is none.
-    #[error("the end of the key space is not held")]
+    /// There is no range, or the last range does not extend to the end of the key space.
+    #[error("no range covers the end of the key space")]
     EndNotCovered,
-    /// Two ranges of one name, or a name that is yet to be given.
-    #[error("{0} is named twice or is yet to be given")]
+    /// Two ranges have the same identifier, or the identifier has not been issued yet.
+    #[error("{0} occurs twice or has not been issued yet")]
     InvalidId(RangeId),
 }
 
-/// The map: every key is held by exactly one range.
+/// A map in which every key belongs to exactly one range.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(try_from = "Parts", into = "Parts")]
+#[serde(try_from = "SerializedMap", into = "SerializedMap")]
 pub struct RangeMap {
     version: MapVersion,
-    /// The name that the next new range gets.
-    next: RangeId,
-    /// By their first key.
+    /// Identifier of the next new range.
+    next_id: RangeId,
+    /// Ranges by their first key.
     ranges: BTreeMap<Key, RangeAssignment>,
 }
 
-/// What a map is written as.
-type Parts = (MapVersion, RangeId, Vec<RangeAssignment>);
+/// Serialized form of a map: version, next identifier, and ranges by key.
+type SerializedMap = (MapVersion, RangeId, Vec<RangeAssignment>);
 
 impl RangeMap {
-    /// One range of all keys, held by these.
+    /// Creates a map with a single range of all keys.
     pub fn single_range(replicas: BTreeSet<NodeName>) -> Result<RangeMap, MapError> {
-        let held = RangeAssignment { id: RangeId(0), range: KeyRange::full(), epoch: Epoch(1), replicas };
-        RangeMap::new(MapVersion(1), RangeId(1), vec![held])
+        let assignment =
+            RangeAssignment { id: RangeId(0), range: KeyRange::full(), epoch: Epoch(1), replicas };
+        RangeMap::new(MapVersion(1), RangeId(1), vec![assignment])
     }
 
-    /// The map of these ranges in the order of their keys; `next` is the name that the next new range gets.
-    pub fn new(version: MapVersion, next: RangeId, held: Vec<RangeAssignment>) -> Result<RangeMap, MapError> {
-        if held.len() > MAX_RANGES {
+    /// Creates a map of these ranges, which must be sorted by key. `next_id` is the identifier of the next
+    /// new range.
+    pub fn new(
+        version: MapVersion,
+        next_id: RangeId,
+        assignments: Vec<RangeAssignment>,
+    ) -> Result<RangeMap, MapError> {
+        if assignments.len() > MAX_RANGES {
             return Err(MapError::TooManyRanges);
         }
-        let mut names = BTreeSet::new();
+        let mut ids = BTreeSet::new();
         let mut ranges = BTreeMap::new();
         let mut expected = Some(Key::smallest());
-        for held in held {
-            if expected.as_ref() != Some(held.range.start()) {
-                return Err(MapError::GapOrOverlap(held.range));
+        for assignment in assignments {
+            if expected.as_ref() != Some(assignment.range.start()) {
+                return Err(MapError::GapOrOverlap(assignment.range));
             }
-            if held.id >= next || !names.insert(held.id) {
-                return Err(MapError::InvalidId(held.id));
+            if assignment.id >= next_id || !ids.insert(assignment.id) {
+                return Err(MapError::InvalidId(assignment.id));
             }
-            replicas_fit(&held)?;
-            expected = held.range.end().cloned();
-            ranges.insert(held.range.start().clone(), held);
+            check_replica_count(&assignment)?;
+            expected = assignment.range.end().cloned();
+            ranges.insert(assignment.range.start().clone(), assignment);
         }
         if expected.is_some() {
             return Err(MapError::EndNotCovered);
         }
-        Ok(RangeMap { version, next, ranges })
+        Ok(RangeMap { version, next_id, ranges })
     }
 
-    /// Its version.
+    /// Returns the version of the map.
     pub fn version(&self) -> MapVersion {
         self.version
     }
 
-    /// The name that the next new range gets.
+    /// Returns the identifier of the next new range.
     pub fn next_id(&self) -> RangeId {
-        self.next
+        self.next_id
     }
 
-    /// All ranges, in the order of their keys.
+    /// Returns all ranges in the order of their keys.
     pub fn ranges(&self) -> impl DoubleEndedIterator<Item = &RangeAssignment> {
         self.ranges.values()
     }
 
-    /// How many ranges there are; never 0.
+    /// Returns the number of ranges, which is at least 1.
     pub fn range_count(&self) -> usize {
         self.ranges.len()
     }
 
-    /// The range that holds this key. There always is one; `None` cannot come of a map that was made here.
+    /// Returns the range that contains this key. There always is one, so that `None` does not occur.
     pub fn lookup(&self, key: &Key) -> Option<&RangeAssignment> {
-        self.ranges.range(..=key).next_back().map(|(_, held)| held)
+        self.ranges.range(..=key).next_back().map(|(_, assignment)| assignment)
     }
 
-    /// The range of this name. It looks through all of them.
+    /// Returns the range with this identifier, by a search through all ranges.
     pub fn by_id(&self, id: RangeId) -> Result<&RangeAssignment, MapError> {
-        self.ranges.values().find(|held| held.id == id).ok_or(MapError::UnknownRange(id))
+        self.ranges.values().find(|assignment| assignment.id == id).ok_or(MapError::UnknownRange(id))
     }
 
-    /// The ranges that hold a key of this one, in order.
+    /// Returns the ranges that have keys in common with this one, in the order of their keys.
     pub fn overlapping(&self, range: &KeyRange) -> impl Iterator<Item = &RangeAssignment> {
-        let first = self.lookup(range.start()).map_or_else(Key::smallest, |held| held.range.start().clone());
+        let first = self
+            .lookup(range.start())
+            .map_or_else(Key::smallest, |assignment| assignment.range.start().clone());
         let range = range.clone();
-        self.ranges.range(first..).map(|(_, held)| held).take_while(move |held| held.range.overlaps(&range))
+        self.ranges
+            .range(first..)
+            .map(|(_, assignment)| assignment)
+            .take_while(move |assignment| assignment.range.overlaps(&range))
     }
 
-    /// The map in which a range is held by these instead.
+    /// Returns a map in which a range has other replicas.
     pub fn with_replicas(&self, id: RangeId, replicas: BTreeSet<NodeName>) -> Result<RangeMap, MapError> {
-        let mut held = self.by_id(id)?.clone();
-        held.replicas = replicas;
-        held.epoch.0 += 1;
-        replicas_fit(&held)?;
-        let mut map = self.changed();
-        map.ranges.insert(held.range.start().clone(), held);
+        let mut assignment = self.by_id(id)?.clone();
+        assignment.replicas = replicas;
+        assignment.epoch.0 += 1;
+        check_replica_count(&assignment)?;
+        let mut map = self.next_version();
+        map.ranges.insert(assignment.range.start().clone(), assignment);
         Ok(map)
     }
 
-    /// The map in which a range is two, cut at this key, with the same holders.
+    /// Returns a map in which a range is split at this key into two ranges with the same replicas.
     pub fn with_split(&self, id: RangeId, at: &Key) -> Result<RangeMap, MapError> {
-        let held = self.by_id(id)?.clone();
-        let Some((low, high)) = held.range.split(at) else {
-            return Err(MapError::SplitOutside(at.clone(), held.range));
+        let assignment = self.by_id(id)?.clone();
+        let Some((low, high)) = assignment.range.split(at) else {
+            return Err(MapError::SplitOutside(at.clone(), assignment.range));
         };
         if self.range_count() >= MAX_RANGES {
             return Err(MapError::TooManyRanges);
         }
-        let mut map = self.changed();
+        let mut map = self.next_version();
         for range in [low, high] {
-            let half =
-                RangeAssignment { id: map.next, range, epoch: Epoch(held.epoch.0 + 1), ..held.clone() };
-            map.next.0 += 1;
+            let half = RangeAssignment {
+                id: map.next_id,
+                range,
+                epoch: Epoch(assignment.epoch.0 + 1),
+                ..assignment.clone()
+            };
+            map.next_id.0 += 1;
             map.ranges.insert(half.range.start().clone(), half);
         }
         Ok(map)
     }
 
-    /// The map in which a range and the one that follows it are one. They need the same holders.
+    /// Returns a map in which a range and the one that follows it are merged. Both must have the same
+    /// replicas.
     pub fn with_merge(&self, low: RangeId, high: RangeId) -> Result<RangeMap, MapError> {
         let (first, second) = (self.by_id(low)?, self.by_id(high)?);
         let range = first.range.merge(&second.range).ok_or(MapError::NotAdjacent(low, high))?;
@@ -213,33 +230,38 @@
             return Err(MapError::DifferentReplicas(low, high));
         }
         let epoch = Epoch(first.epoch.max(second.epoch).0 + 1);
-        let mut map = self.changed();
-        let one = RangeAssignment { id: map.next, range, epoch, replicas: first.replicas.clone() };
-        map.next.0 += 1;
+        let mut map = self.next_version();
+        let merged = RangeAssignment { id: map.next_id, range, epoch, replicas: first.replicas.clone() };
+        map.next_id.0 += 1;
         map.ranges.remove(second.range.start());
-        map.ranges.insert(one.range.start().clone(), one);
+        map.ranges.insert(merged.range.start().clone(), merged);
         Ok(map)
     }
 
-    fn changed(&self) -> RangeMap {
+    /// Returns a copy of the map with the next version.
+    fn next_version(&self) -> RangeMap {
         RangeMap { version: MapVersion(self.version.0 + 1), ..self.clone() }
     }
 }
 
-fn replicas_fit(held: &RangeAssignment) -> Result<(), MapError> {
-    let count = held.replicas.len();
-    if (1..=MAX_REPLICAS).contains(&count) { Ok(()) } else { Err(MapError::ReplicaCount(held.id, count)) }
+fn check_replica_count(assignment: &RangeAssignment) -> Result<(), MapError> {
+    let count = assignment.replicas.len();
+    if (1..=MAX_REPLICAS).contains(&count) {
+        Ok(())
+    } else {
+        Err(MapError::ReplicaCount(assignment.id, count))
+    }
 }
 
-impl TryFrom<Parts> for RangeMap {
+impl TryFrom<SerializedMap> for RangeMap {
     type Error = MapError;
-    fn try_from((version, next, held): Parts) -> Result<RangeMap, MapError> {
-        RangeMap::new(version, next, held)
+    fn try_from((version, next_id, assignments): SerializedMap) -> Result<RangeMap, MapError> {
+        RangeMap::new(version, next_id, assignments)
     }
 }
 
-impl From<RangeMap> for Parts {
-    fn from(map: RangeMap) -> Parts {
-        (map.version, map.next, map.ranges.into_values().collect())
+impl From<RangeMap> for SerializedMap {
+    fn from(map: RangeMap) -> SerializedMap {
+        (map.version, map.next_id, map.ranges.into_values().collect())
     }
 }
