--- a/crates/admission/src/shares.rs
+++ b/crates/admission/src/shares.rs
@@ -119,8 +119,9 @@
                 } else if shares.try_acquire(c, units) {
                     queries.push(units);
                     let sum: usize = queries.iter().sum();
-                    let free = 100usize.saturating_sub(shares.in_use());
-                    prop_assert!(queries.len() == 1 || sum <= FREE_MULTIPLE * free);
+                    prop_assert!(
+                        queries.len() == 1 || sum <= FREE_MULTIPLE * 100usize.saturating_sub(shares.in_use())
+                    );
                 } else {
                     prop_assert!(!queries.is_empty());
                 }
--- a/crates/admission/tests/capacity.rs
+++ b/crates/admission/tests/capacity.rs
@@ -137,11 +137,13 @@
         let capacity = ConnectionCapacity::new(usual, max_clients);
         let (clients, pool) = (demand(c.0, c.1), demand(p.0, p.1));
         let shares = capacity.divide(clients, pool);
-        let min = capacity.min_shares();
         prop_assert_eq!(shares.clients + shares.pool, usual.clients + usual.pool);
-        prop_assert!(shares.clients >= min.clients && shares.pool >= min.pool);
+        prop_assert!(
+            shares.clients >= capacity.min_shares().clients && shares.pool >= capacity.min_shares().pool
+        );
         prop_assert!(shares.pool <= capacity.max_pool());
-        let (needed_clients, needed_pool) = (clients.now.max(min.clients), pool.now.max(min.pool));
+        let (needed_clients, needed_pool) =
+            (clients.now.max(capacity.min_shares().clients), pool.now.max(capacity.min_shares().pool));
         if needed_clients + needed_pool <= capacity.total() {
             prop_assert!(shares.clients >= needed_clients && shares.pool >= needed_pool, "{:?}", shares);
         }
@@ -165,9 +167,11 @@
     ) {
         let capacity = capacity(limit);
         let mut open = DescriptorShares { clients: 0, pool: 0 };
-        for (clients_demand, pool_demand, c_opened, p_opened, c_closed, p_closed) in steps {
-            let (clients, pool) = (demand(clients_demand, clients_demand), demand(pool_demand, pool_demand));
-            let caps = capacity.caps(capacity.divide(clients, pool), open);
+        for (clients_needed, pool_needed, c_opened, p_opened, c_closed, p_closed) in steps {
+            let caps = capacity.caps(
+                capacity.divide(demand(clients_needed, clients_needed), demand(pool_needed, pool_needed)),
+                open,
+            );
             // Each side opens connections up to its cap regardless of the other, and may keep those beyond
             // its cap.
             open.clients = open.clients.max(caps.clients.min(open.clients + c_opened));
--- a/crates/ranges/tests/map.rs
+++ b/crates/ranges/tests/map.rs
@@ -28,10 +28,8 @@
             let changed = match kind {
                 0 => map.with_split(RangeId(one), &key(at)),
                 1 => map.with_merge(RangeId(one), RangeId(other)),
-                _ => {
-                    let replicas = nodes(if other % 2 == 0 { &["a", "b"] } else { &["c"] });
-                    map.with_replicas(RangeId(one), replicas)
-                }
+                _ => map
+                    .with_replicas(RangeId(one), nodes(if other % 2 == 0 { &["a", "b"] } else { &["c"] })),
             };
             let Ok(new) = changed else { continue };
             prop_assert!(rebuilt(&new).is_ok());
--- a/crates/repeats/src/tests.rs
+++ b/crates/repeats/src/tests.rs
@@ -282,8 +282,12 @@
                 }
                 2 if !in_flight.is_empty() => {
                     let (n, _) = in_flight.swap_remove(n % in_flight.len());
-                    let proof = [Proof::Ran, Proof::MayRun, Proof::NeverRan][(wait as usize) % 3];
-                    old.attempt_ended(now, &key(n), 0, proof);
+                    old.attempt_ended(
+                        now,
+                        &key(n),
+                        0,
+                        [Proof::Ran, Proof::MayRun, Proof::NeverRan][(wait as usize) % 3],
+                    );
                 }
                 _ => old.close(now, &key(n), wait == 1),
             }
