--- a/crates/admission/tests/capacity.rs
+++ b/crates/admission/tests/capacity.rs
@@ -163,7 +163,9 @@
     #[test]
     fn no_descriptor_is_assigned_twice_while_shares_change(
         limit in 64u64..3000,
-        steps in prop::collection::vec((0u64..4000, 0u64..4000, 0u64..4000, 0u64..4000, 0u64..4000, 0u64..4000), 1..40),
+        steps in prop::collection::vec(
+            (0u64..4000, 0u64..4000, 0u64..4000, 0u64..4000, 0u64..4000, 0u64..4000), 1..40
+        ),
     ) {
         let capacity = capacity(limit);
         let mut open = DescriptorShares { clients: 0, pool: 0 };
