--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,8 @@
-//! The plain values that all packages of the broker share. Nothing here does I/O, reads a clock or decides.
+//! Plain data types that the packages of the broker share. Nothing here does I/O, reads a clock or makes decisions.
 //!
-//! [`time`] counts whole microseconds; [`query`] is what a client asks and how that ends; [`server`] is the list of
-//! data servers as discovery sends it and as the decisions see it; [`limits`] bounds what the sockets hold.
+//! [`time`] defines times in whole microseconds; [`query`] a client's request and its final answer; [`server`] the list
+//! of data servers, as discovery sends it and as the decision module uses it; [`limits`] the limits of connections to
+//! data servers.
 
 pub use brookbend::recall;
 
--- a/crates/model/src/limits.rs
+++ b/crates/model/src/limits.rs
@@ -1,18 +1,18 @@
-//! What bounds the sockets.
+//! Limits of connections to data servers.
 
 use crate::time::Micros;
 
-/// Limits for connections to data servers.
+/// Limits of the pool of connections to data servers.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
-    /// Most connections.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Most parts in a call.
+    /// Maximum number of parts sent in one call.
     pub max_parts_per_call: usize,
-    /// Most parts on a connection.
+    /// Maximum number of unanswered parts on one connection.
     pub max_parts_per_connection: usize,
-    /// A connection must be up within this time.
+    /// Maximum time in microseconds to establish a connection.
     pub dial_timeout: Micros,
-    /// Servers close connections that are idle for this long.
+    /// Time in microseconds after which servers close an idle connection.
     pub idle_timeout: Micros,
 }
--- a/crates/model/src/query.rs
+++ b/crates/model/src/query.rs
@@ -1,4 +1,4 @@
-//! A query: what a client asks, its parts and attempts, and the one final answer.
+//! Queries: the request of a client, its parts, the attempts at each part, and the final answer.
 
 use crate::time::Micros;
 use serde::{Deserialize, Serialize};
@@ -6,151 +6,152 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What the end of an attempt proves.
+/// What the end of an attempt proves about its execution on the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Proof {
-    /// It never ran.
+    /// The attempt was never executed.
     NeverRan,
-    /// It has run, and is over.
+    /// The attempt was executed and has finished.
     Ran,
-    /// It may have run, or may yet, until it stops being waited for.
+    /// The attempt may have been executed, or may still be until its deadline.
     MayRun,
 }
 
-/// Number of a query, never used twice.
+/// Number of a query. A number is never reused.
 pub type QueryId = u64;
 
 /// One attempt at a part of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The query.
+    /// Number of the query that the part belongs to.
     pub query: QueryId,
-    /// The part's place among the query's parts.
+    /// Index of the part among the parts of the query.
     pub part: usize,
-    /// Which attempt at the part, from 0.
+    /// Number of the attempt at this part, starting at 0.
     pub attempt: u32,
 }
 
-/// What the decisions need to know of a part.
+/// The properties of a part that decisions are based on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartSpec {
-    /// Its shard.
+    /// Index of the shard that holds the data of the part.
     pub shard: usize,
-    /// Its share of the whole answer.
+    /// Share of the part in the complete answer, from 0 to 1.
     pub weight: f64,
-    /// A guess at the work in it.
+    /// The client's estimate of the work in microseconds; `None` if it gave no estimate.
     pub work_hint: Option<Micros>,
 }
 
-/// What a client asks.
+/// A decoded request of a client for a query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryRequest {
-    /// The request's id, on the wire to data servers too.
+    /// Id of the request, which is also sent to data servers.
     pub id: Rc<str>,
-    /// Index of the class.
+    /// Index of the class of the query.
     pub class: usize,
-    /// Index of the tenant.
+    /// Index of the tenant that the client belongs to.
     pub tenant: usize,
-    /// How long the client will wait.
+    /// Time in microseconds that the client waits for an answer.
     pub client_timeout: Micros,
-    /// Whether the client marked it as a repeat.
+    /// Whether the client marked the request as a retry of an earlier one.
     pub is_retry: bool,
-    /// The idempotency key, in a keyed class.
+    /// Idempotency key. `None` if the client sent none, or if the class is safe to repeat.
     pub idempotency_key: Option<Rc<str>>,
-    /// The parts.
+    /// Parts of the query, one for each requested range.
     pub parts: Vec<PartSpec>,
-    /// What each part has to carry.
+    /// Predicate of the query, which is sent with each part.
     pub predicate: Rc<str>,
-    /// What the operator sets for it.
+    /// Limits that the operator configured for the query.
     pub limits: Arc<QueryLimits>,
 }
 
-/// The final answer to a client.
+/// The final answer of a query, as its client receives it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// Served.
+    /// The query was served.
     Answer {
-        /// Whether it is whole.
+        /// Whether the answer is complete, as opposed to a partial one.
         whole: bool,
-        /// Shard and value of each part that is in.
+        /// Shard and value of each answered part.
         values: Vec<(usize, String)>,
     },
-    /// Not served; trying again is harmless.
+    /// The query was not served, and a retry is safe.
     Refused {
-        /// When to come back.
+        /// Time in microseconds after which the client may retry; `None` if no time is advised.
         retry_after: Option<Micros>,
     },
-    /// Not served, promising nothing.
+    /// The query was not served, and parts of it may have been executed.
     Failed,
-    /// The request itself cannot be used.
+    /// The request itself is invalid.
     Bad {
-        /// Status of the answer.
+        /// HTTP status code of the answer.
         status: u16,
-        /// What is wrong.
+        /// Description of the error, for the client.
         why: String,
     },
 }
 
-/// Names that requests use for what the settings number.
+/// Names of classes, tenants and zones. The index of a name is its index in the settings.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// The classes.
+    /// Name of each class, by index.
     pub classes: Vec<String>,
-    /// The tenants.
+    /// Name of each tenant, by index.
     pub tenants: Vec<String>,
-    /// The zones.
+    /// Name of each zone, by index.
     pub zones: Vec<String>,
-    /// Classes that no request may name any more: queries that began under them may be in hand still.
+    /// Indices of removed classes. New requests cannot name them, but open queries may still belong to them.
     pub removed_classes: BTreeSet<usize>,
-    /// Tenants, likewise.
+    /// Indices of removed tenants, which open queries may still belong to.
     pub removed_tenants: BTreeSet<usize>,
 }
 
 impl Names {
-    /// The index of the class that has this name now.
+    /// Returns the index of the current class with this name.
     pub fn class(&self, name: &str) -> Option<usize> {
         find(&self.classes, &self.removed_classes, name.as_bytes())
     }
 
-    /// The index of all requests' tenant, where the settings name none.
+    /// Returns the index of the tenant that all requests belong to if the settings name no tenants.
     pub fn implicit_tenant(&self) -> Option<usize> {
         if self.tenants.is_empty() { Some(0) } else { self.tenant(b"") }
     }
 
-    /// The index of the tenant that has this name now.
+    /// Returns the index of the current tenant with this name.
     pub fn tenant(&self, name: &[u8]) -> Option<usize> {
         find(&self.tenants, &self.removed_tenants, name)
     }
 }
 
-fn find(names: &[String], left: &BTreeSet<usize>, name: &[u8]) -> Option<usize> {
+fn find(names: &[String], removed: &BTreeSet<usize>, name: &[u8]) -> Option<usize> {
     let mut all = names.iter().enumerate();
-    all.find(|(i, n)| n.as_bytes() == name && !left.contains(i)).map(|(i, _)| i)
+    all.find(|(i, n)| n.as_bytes() == name && !removed.contains(i)).map(|(i, _)| i)
 }
 
-/// The section of the operator's file that a limit was set in: queries count together that have it from there.
+/// Name of the section in the operator's file that sets a limit. All queries with a limit from the same section share it.
 pub type LimitScope = Arc<str>;
 
-/// So many queries a second of each tenant, evenly, and so many at once after a silence.
+/// Rate limit of each tenant: a sustained rate, and the burst that is allowed after an idle time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rate {
-    /// Queries a second, 1 at least.
+    /// Sustained rate in queries per second, at least 1.
     pub per_second: u32,
-    /// Queries at once, 1 at least.
+    /// Maximum number of queries at once, at least 1.
     pub burst: u32,
 }
 
-/// What an operator sets for a query; `None`: as the platform has it. A query keeps those that it began with.
+/// Limits that the operator configured for a query. `None` leaves the setting of the platform in force. A query keeps
+/// the limits that it started with.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QueryLimits {
-    /// It is answered within this time.
+    /// Maximum time in microseconds until the query is answered.
     pub timeout: Option<Micros>,
-    /// An attempt at a part is given up after this time.
+    /// Time in microseconds after which an attempt at a part is cancelled.
     pub attempt_timeout: Option<Micros>,
-    /// Most attempts at a part.
+    /// Maximum number of attempts at a part.
     pub max_attempts: Option<u32>,
-    /// Most queries in hand, of all that share the limit.
+    /// Maximum number of open queries among all that share the limit.
     pub max_open: Option<(LimitScope, u32)>,
-    /// Most queries a second, by tenant.
+    /// Maximum rate of queries, counted separately for each tenant.
     pub rate: Option<(LimitScope, Rate)>,
 }
--- a/crates/pacing/src/lib.rs
+++ b/crates/pacing/src/lib.rs
@@ -1,56 +1,61 @@
-//! When the next turn begins.
+//! Computes when the next turn of the event loop begins.
 //!
-//! Parts that go to one server in one turn share a call, and each call costs the server work of its own, so that a
-//! busy broker does well to gather for a while before it decides. An idle one gains nothing by it: nobody else is
-//! there to share with, and its one client waits. The rule here goes by how many queries are in hand: one alone is
-//! served at once, and the wait grows with each further one up to the most. And it goes by whether anything is still
-//! awaited from the data servers: once all that is out has been answered, what is in hand waits for nobody but the
-//! next turn, so that begins (RFC 896 holds small segments back by the same reasoning: only while something sent
-//! before is not acknowledged). While servers are slow, something is always out and the gathering is whole; while they
-//! are fast, calls shared would save them work that nobody waits for.
+//! Parts for one server that are sent in the same turn share a call, and each call costs the server extra work. A busy
+//! broker therefore waits for a while before it decides, so that more parts share a call. An idle broker gains nothing by
+//! waiting: there is no other query to share a call with, and its only client would wait. The interval between turns
+//! therefore depends on the number of open queries: with one query the next turn begins at once, and the interval grows
+//! with each further query up to a maximum.
 //!
-//! It does not go by the rate of arrivals: a client that asks one query after another raises that rate as soon as it
-//! is served at once, and the wait that follows lowers it again, so that such a rule swings to and fro.
+//! It also depends on whether attempts are still in flight to data servers. Once all of them have ended, the open
+//! queries wait only for the next turn, so that turn begins at once. Nagle's algorithm (RFC 896) works the same way: it
+//! holds small segments back only while earlier data is unacknowledged. While servers are slow, attempts are always in
+//! flight and the full interval applies. While servers are fast, sharing calls would only save them work that delays
+//! nobody.
+//!
+//! The interval does not depend on the rate of arrivals. A client that sends one query after another raises that rate as
+//! soon as its queries are served at once; the wait that follows would lower the rate again, so the interval would
+//! oscillate.
 
 use plover_model::time::Micros;
 
-/// So many queries in hand beside the first make the wait the longest.
-const CROWD: u64 = 8;
+/// Number of open queries beside the first at which the interval reaches its maximum.
+const QUERIES_AT_MAX_INTERVAL: u64 = 8;
 
-/// How turns are spaced.
+/// Rule for the interval between two turns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pacing {
-    /// So far apart whatever is in hand.
+    /// A fixed interval in microseconds, whatever the load.
     Fixed(Micros),
-    /// At once where one query is in hand or nothing is awaited, up to so far apart where many are.
+    /// An interval that depends on the load, with its maximum in microseconds. It is 0 with at most one open query or
+    /// with no attempt in flight.
     Gather(Micros),
 }
 
 impl Pacing {
-    /// The least time between the beginnings of two turns, with so many queries in hand (those that wait to be taken
-    /// up included).
-    pub fn interval(self, in_hand: usize) -> Micros {
+    /// Returns the minimum time in microseconds between the beginnings of two turns. `open_queries` includes the queries
+    /// that wait to be admitted.
+    pub fn interval(self, open_queries: usize) -> Micros {
         match self {
-            Pacing::Fixed(gap) => gap,
-            Pacing::Gather(most) => {
-                let others = (in_hand as u64).saturating_sub(1).min(CROWD);
-                most * others / CROWD
+            Pacing::Fixed(interval) => interval,
+            Pacing::Gather(max_interval) => {
+                let others = (open_queries as u64).saturating_sub(1).min(QUERIES_AT_MAX_INTERVAL);
+                max_interval * others / QUERIES_AT_MAX_INTERVAL
             }
         }
     }
 
-    /// Whether news may bring the next turn forward.
+    /// Whether new queries or ended attempts can make the next turn begin earlier.
     pub fn is_adaptive(self) -> bool {
         matches!(self, Pacing::Gather(_))
     }
 
-    /// When the next turn begins at the earliest, after one that began at `last`: with so many queries in hand, and so
-    /// many attempts out whose end is not known yet.
-    pub fn next_turn_at(self, last: Micros, in_hand: usize, awaited: usize) -> Micros {
-        if self.is_adaptive() && awaited == 0 {
+    /// Returns the earliest time at which the next turn may begin after a turn that began at `last`.
+    /// `attempts_in_flight` is the number of attempts whose end is not known yet.
+    pub fn next_turn_at(self, last: Micros, open_queries: usize, attempts_in_flight: usize) -> Micros {
+        if self.is_adaptive() && attempts_in_flight == 0 {
             return last;
         }
-        last.saturating_add(self.interval(in_hand))
+        last.saturating_add(self.interval(open_queries))
     }
 }
 
@@ -60,16 +65,16 @@
     use proptest::prelude::*;
 
     #[test]
-    fn one_query_alone_is_served_at_once_and_a_crowd_gathers() {
-        let gaps = [0, 1, 2, 5, 9, 10_000].map(|n| Pacing::Gather(4000).interval(n));
-        assert_eq!(gaps, [0, 0, 500, 2000, 4000, 4000]);
+    fn interval_grows_with_the_number_of_open_queries() {
+        let intervals = [0, 1, 2, 5, 9, 10_000].map(|n| Pacing::Gather(4000).interval(n));
+        assert_eq!(intervals, [0, 0, 500, 2000, 4000, 4000]);
         assert_eq!([0, 1, 100].map(|n| Pacing::Fixed(5000).interval(n)), [5000; 3]);
     }
 
-    /// A client that asks one query after another never has more than one in hand, however fast it is served: with
-    /// a rule by rate its second query would wait.
+    /// Guards against an interval that depends on the rate of arrivals: a client that sends one query after another has
+    /// only one open at a time, but with such a rule its second query would wait.
     #[test]
-    fn a_client_that_asks_in_turn_is_never_made_to_wait() {
+    fn sequential_queries_of_one_client_never_wait() {
         let pacing = Pacing::Gather(5000);
         let (mut now, mut waited) = (0, 0);
         for _ in 0..1000 {
@@ -81,17 +86,17 @@
     }
 
     #[test]
-    fn once_all_that_is_out_has_ended_nobody_waits() {
+    fn next_turn_begins_at_once_when_no_attempt_is_in_flight() {
         assert_eq!([0, 1, 2].map(|n| Pacing::Gather(4000).next_turn_at(100, 9, n)), [100, 4100, 4100]);
         assert_eq!([0, 1].map(|n| Pacing::Fixed(5000).next_turn_at(100, 9, n)), [5100; 2]);
     }
 
     proptest! {
         #[test]
-        fn the_wait_never_shrinks_with_more_in_hand_nor_passes_the_most(most in 0u64..50_000, a in 0usize..5000, b in 0usize..5000) {
-            let pacing = Pacing::Gather(most);
+        fn interval_is_monotonic_and_bounded(max_interval in 0u64..50_000, a in 0usize..5000, b in 0usize..5000) {
+            let pacing = Pacing::Gather(max_interval);
             prop_assert!(pacing.interval(a.min(b)) <= pacing.interval(a.max(b)));
-            prop_assert!(pacing.interval(a) <= most);
+            prop_assert!(pacing.interval(a) <= max_interval);
         }
     }
 }
--- a/crates/query/src/decode.rs
+++ b/crates/query/src/decode.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to what it asks.
+//! Decoding of a query from an HTTP request.
 
 use brookbend::api::{Semantics, Settings};
 use http::{HeaderMap, Method, Request};
@@ -8,13 +8,15 @@
 use serde::Deserialize;
 use std::rc::Rc;
 
-/// Longest request id or idempotency key: they travel in every frame.
-const TOKEN_CAP: usize = 256;
-/// Longest time that a client may ask for, and most work that it may guess at.
-const LONGEST: Micros = 3_600_000_000;
-/// Weights may miss their sum by so much, they are rounded on their way: up to a hundred of them together, and each beyond.
-const ROUNDING: f64 = 0.01;
-const ROUNDING_EACH: f64 = ROUNDING / 100.0;
+/// Maximum length in bytes of a request id or an idempotency key. Both are sent in every frame to data servers.
+const MAX_TOKEN_LENGTH: usize = 256;
+/// Maximum deadline that a client may request, and maximum work that it may estimate for a part.
+const MAX_DURATION: Micros = 3_600_000_000;
+/// Maximum difference between the sum of all weights and 1, since clients send rounded weights. It holds for up to 100
+/// parts.
+const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
+/// Maximum difference per part in queries of more than 100 parts.
+const WEIGHT_TOLERANCE: f64 = WEIGHT_SUM_TOLERANCE / 100.0;
 
 #[derive(Deserialize)]
 struct Body {
@@ -29,120 +31,121 @@
     price: Option<f64>,
 }
 
-fn bad<T>(status: u16, why: impl Into<String>) -> Result<T, Reply> {
+fn bad_request<T>(status: u16, why: impl Into<String>) -> Result<T, Reply> {
     Err(Reply::Bad { status, why: why.into() })
 }
 
-/// Decodes a request for a class. The error is the answer that it is owed.
+/// Decodes a query from a request. The class is the first segment of the path. The error is the answer to the client.
 pub fn decode(
     request: &Request<Vec<u8>>,
     names: &Names,
     settings: &Settings,
     routes: &Routes,
 ) -> Result<QueryRequest, Reply> {
-    let m = request.headers();
-    let first = request.uri().path().trim_start_matches('/').split('/').next().unwrap_or_default();
-    let Some(class) = names.class(first) else {
-        return bad(404, "the path names no class");
+    let headers = request.headers();
+    let first_segment = request.uri().path().trim_start_matches('/').split('/').next().unwrap_or_default();
+    let Some(class) = names.class(first_segment) else {
+        return bad_request(404, "the path names no class");
     };
     if request.method() != Method::POST {
-        return bad(if is_standard(request.method()) { 405 } else { 501 }, "a query is a POST");
+        return bad_request(if is_standard(request.method()) { 405 } else { 501 }, "a query is a POST");
     }
-    if m.get("x-class").is_some_and(|c| c.as_bytes() != names.classes[class].as_bytes()) {
-        return bad(400, "X-Class is not the path's class");
+    if headers.get("x-class").is_some_and(|c| c.as_bytes() != names.classes[class].as_bytes()) {
+        return bad_request(400, "X-Class is not the path's class");
     }
-    let id = token(m, "x-request-id")?;
-    let Some(id) = id else { return bad(400, "X-Request-Id is missing") };
-    let tenant = match (names.implicit_tenant(), m.get("x-tenant")) {
-        (Some(only), _) => only,
+    let id = token(headers, "x-request-id")?;
+    let Some(id) = id else { return bad_request(400, "X-Request-Id is missing") };
+    let tenant = match (names.implicit_tenant(), headers.get("x-tenant")) {
+        (Some(implicit), _) => implicit,
         (None, Some(name)) => match names.tenant(name.as_bytes()) {
             Some(tenant) => tenant,
-            None => return bad(400, "X-Tenant names no tenant"),
+            None => return bad_request(400, "X-Tenant names no tenant"),
         },
-        (None, None) => return bad(400, "X-Tenant is missing"),
+        (None, None) => return bad_request(400, "X-Tenant is missing"),
     };
     let keyed = !matches!(settings.classes[class].semantics, Semantics::Safe);
-    let key = token(m, "idempotency-key")?.filter(|_| keyed);
-    if key.is_none() && matches!(settings.classes[class].semantics, Semantics::Keyed { .. }) {
-        return bad(400, "Idempotency-Key is missing");
+    let idempotency_key = token(headers, "idempotency-key")?.filter(|_| keyed);
+    if idempotency_key.is_none() && matches!(settings.classes[class].semantics, Semantics::Keyed { .. }) {
+        return bad_request(400, "Idempotency-Key is missing");
     }
-    let usual = millis(settings.classes[class].give_up);
-    let patience = match m.get("x-deadline") {
-        None => usual,
-        Some(text) => match text.to_str().ok().and_then(deadline) {
-            Some(patience) => patience.min(usual),
-            None => return bad(400, "X-Deadline is not a number with the unit m or u"),
+    let max_timeout = millis(settings.classes[class].give_up);
+    let client_timeout = match headers.get("x-deadline") {
+        None => max_timeout,
+        Some(text) => match text.to_str().ok().and_then(parse_deadline) {
+            Some(timeout) => timeout.min(max_timeout),
+            None => return bad_request(400, "X-Deadline is not a number with the unit m or u"),
         },
     };
     let body: Body = match serde_json::from_slice(request.body()) {
         Ok(body) => body,
-        Err(e) => return bad(400, format!("the body is malformed: {e}")),
+        Err(e) => return bad_request(400, format!("the body is malformed: {e}")),
     };
     let facts = Facts {
         path: request.uri().path(),
         class: &names.classes[class],
         tenant: names.tenants.get(tenant).map_or("", String::as_str),
-        headers: m,
+        headers,
     };
     Ok(QueryRequest {
         limits: routes.of(class, &facts).clone(),
         id,
         class,
         tenant,
-        client_timeout: patience,
-        is_retry: m.get("x-retry").is_some_and(|v| v == "1"),
-        idempotency_key: key,
-        parts: parts(body.ranges, settings.shards)?,
+        client_timeout,
+        is_retry: headers.get("x-retry").is_some_and(|v| v == "1"),
+        idempotency_key,
+        parts: decode_parts(body.ranges, settings.shards)?,
         predicate: body.predicate.into(),
     })
 }
 
-fn parts(ranges: Vec<RangeBody>, shards: usize) -> Result<Vec<PartSpec>, Reply> {
+fn decode_parts(ranges: Vec<RangeBody>, shards: usize) -> Result<Vec<PartSpec>, Reply> {
     if ranges.is_empty() {
-        return bad(400, "ranges is empty");
+        return bad_request(400, "ranges is empty");
     }
     let mut seen = vec![false; shards];
     let mut parts = Vec::with_capacity(ranges.len());
     for r in ranges {
-        // A part's id is made of its shard: two of one shard could not be told apart.
+        // The id of a part is derived from its shard, so two parts of one shard could not be distinguished.
         match seen.get_mut(r.range) {
             Some(seen) if !*seen => *seen = true,
-            Some(_) => return bad(400, "a range is given twice"),
-            None => return bad(400, "a range is out of bounds"),
+            Some(_) => return bad_request(400, "a range is given twice"),
+            None => return bad_request(400, "a range is out of bounds"),
         }
         if !(0.0..=1.0).contains(&r.portion) {
-            return bad(400, "a portion is out of bounds");
+            return bad_request(400, "a portion is out of bounds");
         }
-        if !r.price.is_none_or(|p| (0.0..=LONGEST as f64).contains(&p)) {
-            return bad(400, "a price is out of bounds");
+        if !r.price.is_none_or(|p| (0.0..=MAX_DURATION as f64).contains(&p)) {
+            return bad_request(400, "a price is out of bounds");
         }
-        let hint = r.price.map(|p| p as Micros).filter(|p| *p > 0);
-        parts.push(PartSpec { shard: r.range, weight: r.portion, work_hint: hint });
+        let work_hint = r.price.map(|p| p as Micros).filter(|p| *p > 0);
+        parts.push(PartSpec { shard: r.range, weight: r.portion, work_hint });
     }
-    // What is whole, and what may be answered in part, is judged by these: a query that asks for more or less
-    // than itself has no right answer.
+    // The weights decide whether an answer is complete and whether a partial answer is allowed. If they do not add up to
+    // 1, no answer would be correct.
     if (parts.iter().map(|p| p.weight).sum::<f64>() - 1.0).abs()
-        > ROUNDING.max(parts.len() as f64 * ROUNDING_EACH)
+        > WEIGHT_SUM_TOLERANCE.max(parts.len() as f64 * WEIGHT_TOLERANCE)
     {
-        return bad(400, "the portions do not add up to 1");
+        return bad_request(400, "the portions do not add up to 1");
     }
     Ok(parts)
 }
 
-/// A header whose value goes into frames: there a space, a comma or a line's end would forge another field.
-fn token(m: &HeaderMap, name: &str) -> Result<Option<Rc<str>>, Reply> {
-    let mut values = m.get_all(name).iter();
+/// Reads a header whose value is copied into frames, where a space, a comma or a line break would start another field.
+/// `None` if the header is missing.
+fn token(headers: &HeaderMap, name: &str) -> Result<Option<Rc<str>>, Reply> {
+    let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
-    // Two ids are none: whoever stands in front may have gone by the other one.
+    // A header that occurs twice is rejected: a proxy in front of the broker may have used the other value.
     let value = value.to_str().ok().filter(|_| values.next().is_none());
-    let plain = |v: &&str| v.bytes().all(|b| b.is_ascii_graphic() && b != b',');
-    match value.filter(plain).filter(|v| !v.is_empty() && v.len() <= TOKEN_CAP) {
+    let is_printable = |v: &&str| v.bytes().all(|b| b.is_ascii_graphic() && b != b',');
+    match value.filter(is_printable).filter(|v| !v.is_empty() && v.len() <= MAX_TOKEN_LENGTH) {
         Some(value) => Ok(Some(value.into())),
-        None => bad(400, format!("{name} is malformed")),
+        None => bad_request(400, format!("{name} is malformed")),
     }
 }
 
-/// Whether the method is one that RFC 9110 (section 9) or RFC 5789 defines; any other is not implemented.
+/// Returns whether RFC 9110 (section 9) or RFC 5789 defines the method. Other methods are answered as not implemented.
 pub(crate) fn is_standard(method: &Method) -> bool {
     [
         Method::GET,
@@ -158,19 +161,19 @@
     .contains(method)
 }
 
-fn deadline(text: &str) -> Option<Micros> {
+fn parse_deadline(text: &str) -> Option<Micros> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let unit = match unit {
         "m" => MILLI as f64,
         "u" => 1.0,
         _ => return None,
     };
-    // Digits alone: the language's own reading takes signs, exponents and words like "inf".
+    // `f64::from_str` would also accept signs, exponents and words such as "inf".
     if !number.bytes().all(|b| b.is_ascii_digit() || b == b'.') {
         return None;
     }
     let micros = number.parse::<f64>().ok()? * unit;
-    (micros <= LONGEST as f64).then_some(micros as Micros)
+    (micros <= MAX_DURATION as f64).then_some(micros as Micros)
 }
 
 #[cfg(test)]
@@ -179,14 +182,14 @@
 
     #[test]
     fn deadlines_have_a_unit() {
-        assert_eq!(deadline("480m"), Some(480_000));
-        assert_eq!(deadline("1.5m"), Some(1500));
-        assert_eq!(deadline("480u"), Some(480));
-        assert_eq!(deadline("3600000m"), Some(LONGEST));
+        assert_eq!(parse_deadline("480m"), Some(480_000));
+        assert_eq!(parse_deadline("1.5m"), Some(1500));
+        assert_eq!(parse_deadline("480u"), Some(480));
+        assert_eq!(parse_deadline("3600000m"), Some(MAX_DURATION));
         for text in
             ["", "m", "480", "480s", "-1m", "+1m", "1e3m", "NaNm", "infm", "4\u{e9}", "9999999999999m"]
         {
-            assert_eq!(deadline(text), None, "{text}");
+            assert_eq!(parse_deadline(text), None, "{text}");
         }
     }
 }
--- a/crates/query/src/lib.rs
+++ b/crates/query/src/lib.rs
@@ -1,6 +1,6 @@
-//! What HTTP means to the broker, whatever its version: which requests there are, how a query is read from one, and
-//! how each end of a query is told (RFC 9110). How messages are framed on a connection is known elsewhere; every
-//! front decodes with [`route`] and encodes what it gets.
+//! HTTP semantics of the broker, independent of the HTTP version (RFC 9110): the kinds of requests, the decoding of a
+//! query from a request, and the encoding of its final answer as a response. The framing of messages on a connection is
+//! implemented elsewhere. Every front decodes requests with [`route`] and encodes the responses that it gets.
 
 mod decode;
 mod request_config;
@@ -14,29 +14,30 @@
 use plover_model::query::QueryRequest;
 use plover_model::time::Micros;
 
-/// Longest body of a request, in bytes.
+/// Maximum length of the body of a request in bytes.
 pub const MAX_BODY_LENGTH: usize = 64 * 1024;
-/// Longest head of a request, in bytes as HTTP/1.1 has it, or as RFC 9113 section 6.5.2 counts a header list.
+/// Maximum length of the head of a request in bytes: as encoded in HTTP/1.1, or counted as a header list (RFC 9113,
+/// section 6.5.2).
 pub const MAX_HEAD_LENGTH: usize = 16 * 1024;
-/// Where a front asks whether the broker takes queries.
+/// Path of the readiness check, which reports whether the broker accepts queries.
 const READY_PATH: &str = "/-/ready";
 
-/// What a request wants.
+/// The result of routing a request.
 #[derive(Debug)]
 pub enum Routed {
-    /// A query, to be handed in.
+    /// A query to hand over to the event loop.
     Query(QueryRequest),
-    /// It is answered already.
+    /// A request that is answered without the event loop.
     Answered {
-        /// The answer.
+        /// Response to send.
         response: Response,
-        /// Whether its client is a usual one, which asks what can be used.
+        /// Whether the request was a valid one, so that its connection counts as a useful one.
         usable: bool,
     },
 }
 
-/// Says what a whole request wants that came at this moment; `ready` is whether the broker takes queries.
-pub fn route(request: &Request<Vec<u8>>, ready: bool, terms: &RequestConfigHistory, at: Micros) -> Routed {
+/// Routes a complete request that was received at time `at`. `ready` is whether the broker accepts queries.
+pub fn route(request: &Request<Vec<u8>>, ready: bool, configs: &RequestConfigHistory, at: Micros) -> Routed {
     let answered = |response, usable| Routed::Answered { response, usable };
     if request.uri() == "*" {
         return answered(response::options(), true);
@@ -48,8 +49,8 @@
             _ => answered(response::error(501, "", ""), false),
         };
     }
-    match terms.read(at, request) {
-        Ok(ask) => Routed::Query(ask),
+    match configs.decode(at, request) {
+        Ok(query) => Routed::Query(query),
         Err(reply) => answered(encode_reply(&reply), false),
     }
 }
--- a/crates/query/src/request_config.rs
+++ b/crates/query/src/request_config.rs
@@ -1,9 +1,10 @@
-//! The terms that requests are read by, and how they change while clients go on.
+//! The configuration that requests are decoded with, and its history while clients switch to a new one.
 //!
-//! Clients hear of other settings when the broker does, but change over a while later. For that time a request is read by
-//! the terms before; near the moment of the change, when nobody can tell by which a request was made, by the stricter of
-//! both; then by the new ones. What the first cannot use is read by the other: a class that has just joined, or one that is
-//! still asked for as it was.
+//! Clients are notified of new settings when the broker is, but apply them some time later. Until then, requests are
+//! decoded with the previous configuration. Around the time of the switch, when it is unknown which configuration a client
+//! used, the stricter of both applies; after that, the new one. A request that cannot be decoded with the configuration
+//! chosen in this way is decoded with the other one, since it may name a class that was just added, or one that was
+//! removed or changed.
 
 use crate::decode;
 use brookbend::api::{Semantics, Settings};
@@ -15,38 +16,41 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// New settings bind this long after the word, as the platform says.
+/// Time from the announcement of new settings until clients apply them, as the platform defines it.
 pub const SETTINGS_EFFECTIVE_AFTER: Micros = 1_200 * MILLI;
-/// About that moment a request may be of either terms: our word came later than the clients', and requests travel.
-const UNSURE: Micros = 300 * MILLI;
-/// After this nobody goes by the terms before.
-const OVER: Micros = 2_000 * MILLI;
+/// Time before and after the switch in which a request may be based on either configuration: the broker may be notified
+/// later than the clients, and requests take time to arrive.
+const SWITCH_UNCERTAINTY: Micros = 300 * MILLI;
+/// Time from the announcement of new settings until no client uses the previous ones any more.
+const PREVIOUS_CONFIG_LIFETIME: Micros = 2_000 * MILLI;
 
-/// The effect of a repeat, and for how long it is dropped.
+/// Strictness of the semantics of a class: 0 for safe, 1 for keyed and 2 for unsafe classes, then the time in
+/// milliseconds for which repeats are dropped. A shorter time is stricter.
 type Strictness = (u8, Reverse<u64>);
 
-/// What a request is read by. Classes and tenants have the same index in all terms of one program.
+/// The configuration that requests are decoded with. A class or tenant has the same index in all configurations of a
+/// process.
 #[derive(Clone, Debug, Default)]
 pub struct RequestConfig {
-    /// What requests may name.
+    /// Names of classes and tenants that requests may use.
     pub names: Names,
-    /// What holds for it; `None`: nothing can be asked yet.
+    /// Settings of the platform; `None` until they are known. Until then all requests are refused.
     pub settings: Option<Settings>,
-    /// What the operator sets.
+    /// Routes of the operator, which set limits for queries.
     pub routes: Arc<Routes>,
 }
 
 impl RequestConfig {
-    fn read(&self, request: &Request<Vec<u8>>) -> Result<QueryRequest, Reply> {
+    fn decode(&self, request: &Request<Vec<u8>>) -> Result<QueryRequest, Reply> {
         match &self.settings {
             Some(settings) => decode(request, &self.names, settings, &self.routes),
             None => Err(Reply::Refused { retry_after: None }),
         }
     }
 
-    /// How little of a query may be repeated, and how often its attempts.
-    fn strictness(&self, ask: &QueryRequest) -> Strictness {
-        let class = self.settings.as_ref().and_then(|s| s.classes.get(ask.class));
+    /// Returns how strictly the class of a query limits repeats of the query and of its attempts.
+    fn strictness(&self, query: &QueryRequest) -> Strictness {
+        let class = self.settings.as_ref().and_then(|s| s.classes.get(query.class));
         match class.map(|c| c.semantics) {
             None | Some(Semantics::Safe) => (0, Reverse(u64::MAX)),
             Some(Semantics::Keyed { window }) => (1, Reverse(window.max(0.0) as u64)),
@@ -55,71 +59,80 @@
     }
 }
 
-/// Most changes that are remembered while clients may go by the terms before them.
-const MOST_BEFORE: usize = 4;
+/// Maximum number of previous configurations that are kept while clients may still use them.
+const MAX_PREVIOUS: usize = 4;
 
-/// The terms now, and those before while they still count.
+/// The current configuration, and previous ones while clients may still use them.
 #[derive(Clone, Debug, Default)]
 pub struct RequestConfigHistory {
-    now: RequestConfig,
-    /// Those before, the oldest first, each with the moment at which other terms were told. A second change within the
-    /// time of the first must not end that: clients have yet to hear of either.
-    before: VecDeque<(Micros, RequestConfig)>,
+    current: RequestConfig,
+    /// Previous configurations, oldest first, each with the time at which its successor was announced. A second change
+    /// shortly after a first one must not discard the oldest configuration, since clients have applied neither change yet.
+    previous: VecDeque<(Micros, RequestConfig)>,
 }
 
 impl RequestConfigHistory {
-    /// With these terms from the start.
-    pub fn new(terms: RequestConfig) -> Self {
-        RequestConfigHistory { now: terms, before: VecDeque::new() }
+    /// Creates a history with only this configuration.
+    pub fn new(config: RequestConfig) -> Self {
+        RequestConfigHistory { current: config, previous: VecDeque::new() }
     }
 
-    /// Other terms, told at this moment.
-    pub fn change(&mut self, at: Micros, terms: RequestConfig) {
-        let before = std::mem::replace(&mut self.now, terms);
-        while self.before.front().is_some_and(|(told, _)| at.saturating_sub(*told) >= OVER) {
-            self.before.pop_front();
+    /// Adds a configuration that was announced at time `at`.
+    pub fn update(&mut self, at: Micros, config: RequestConfig) {
+        let replaced = std::mem::replace(&mut self.current, config);
+        while self
+            .previous
+            .front()
+            .is_some_and(|(announced_at, _)| at.saturating_sub(*announced_at) >= PREVIOUS_CONFIG_LIFETIME)
+        {
+            self.previous.pop_front();
         }
-        // Where too many come at once, those are left out that held for a moment alone: nobody has asked by them.
-        if self.before.len() < MOST_BEFORE {
-            self.before.push_back((at, before));
+        // When too many changes come at once, the dropped configurations were in force only for a moment, so no client
+        // has used them.
+        if self.previous.len() < MAX_PREVIOUS {
+            self.previous.push_back((at, replaced));
         }
-        // What an operator sets holds at once.
-        self.before.iter_mut().for_each(|(_, before)| before.routes = self.now.routes.clone());
+        // Changes of the operator's routes take effect at once.
+        self.previous.iter_mut().for_each(|(_, config)| config.routes = self.current.routes.clone());
     }
 
-    /// The terms that were told last.
+    /// Returns the configuration that was announced last.
     pub fn latest(&self) -> &RequestConfig {
-        &self.now
+        &self.current
     }
 
-    /// Reads a request that came at this moment: by the terms that hold then, about the moment of a change by the
-    /// strictest of those that may, and where these cannot use it by those that hold soonest before or after.
-    pub fn read(&self, at: Micros, request: &Request<Vec<u8>>) -> Result<QueryRequest, Reply> {
-        let new = self.now.read(request);
-        let recent = self.before.iter().filter(|(told, _)| at.saturating_sub(*told) < OVER);
+    /// Decodes a request that was received at time `at` with the configuration in force at that time. Around a switch the
+    /// strictest of the possible configurations applies. If none of them can decode the request, the one that is closest
+    /// in time and can decode it applies.
+    pub fn decode(&self, at: Micros, request: &Request<Vec<u8>>) -> Result<QueryRequest, Reply> {
+        let current = self.current.decode(request);
+        let recent = self
+            .previous
+            .iter()
+            .filter(|(announced_at, _)| at.saturating_sub(*announced_at) < PREVIOUS_CONFIG_LIFETIME);
         let mut from = 0;
-        let mut found: Option<(QueryRequest, (Micros, Reverse<Strictness>))> = None;
+        let mut best: Option<(QueryRequest, (Micros, Reverse<Strictness>))> = None;
         let mut consider =
-            |terms: &RequestConfig, read: Result<QueryRequest, Reply>, from: Micros, until: Micros| {
-                let Ok(ask) = read else { return };
-                let early = (from + 1).saturating_sub(UNSURE).saturating_sub(at);
-                let late = (at + 1).saturating_sub(until.saturating_add(UNSURE));
-                let rank = (early.max(late), Reverse(terms.strictness(&ask)));
-                // Of two that are alike the older one counts: its place is the one that clients asked by.
-                if found.as_ref().is_none_or(|(_, best)| rank < *best) {
-                    found = Some((ask, rank));
+            |config: &RequestConfig, decoded: Result<QueryRequest, Reply>, from: Micros, until: Micros| {
+                let Ok(query) = decoded else { return };
+                let early = (from + 1).saturating_sub(SWITCH_UNCERTAINTY).saturating_sub(at);
+                let late = (at + 1).saturating_sub(until.saturating_add(SWITCH_UNCERTAINTY));
+                let rank = (early.max(late), Reverse(config.strictness(&query)));
+                // Of two equal ranks the older configuration applies, since its index is the one that clients used.
+                if best.as_ref().is_none_or(|(_, best_rank)| rank < *best_rank) {
+                    best = Some((query, rank));
                 }
             };
-        for (told, before) in recent {
-            let until = told + SETTINGS_EFFECTIVE_AFTER;
-            consider(before, before.read(request), from, until);
+        for (announced_at, previous) in recent {
+            let until = announced_at + SETTINGS_EFFECTIVE_AFTER;
+            consider(previous, previous.decode(request), from, until);
             from = until;
         }
-        let refused = new.as_ref().err().cloned();
-        consider(&self.now, new, from, Micros::MAX);
-        match (found, refused) {
-            (Some((ask, _)), _) => Ok(ask),
-            (None, refused) => Err(refused.unwrap_or(Reply::Failed)),
+        let error = current.as_ref().err().cloned();
+        consider(&self.current, current, from, Micros::MAX);
+        match (best, error) {
+            (Some((query, _)), _) => Ok(query),
+            (None, error) => Err(error.unwrap_or(Reply::Failed)),
         }
     }
 }
--- a/crates/query/src/request_config/tests.rs
+++ b/crates/query/src/request_config/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use brookbend::settings::{Message, decode as settings_of};
+use brookbend::settings::{Message, decode as decode_settings};
 
-fn terms() -> RequestConfig {
+fn config() -> RequestConfig {
     let settings: serde_json::Value =
         serde_json::from_str(include_str!("../../../model/tests/settings.json")).unwrap();
-    let site = settings_of(&Message::new("settings", settings.as_object().unwrap())).unwrap();
+    let site = decode_settings(&Message::new("settings", settings.as_object().unwrap())).unwrap();
     let names = Names {
         classes: site.class_names,
         tenants: site.tenant_names,
@@ -24,9 +24,9 @@
     request.body(body).unwrap()
 }
 
-/// A class with other effects, at a place of its own.
-fn changed(semantics: Semantics) -> RequestConfig {
-    let mut new = terms();
+/// Returns a configuration in which the first class has these semantics and therefore a new index, 3.
+fn config_with_semantics(semantics: Semantics) -> RequestConfig {
+    let mut new = config();
     let mut class = new.settings.as_ref().unwrap().classes[0].clone();
     class.semantics = semantics;
     new.settings.as_mut().unwrap().classes.push(class);
@@ -36,106 +36,126 @@
 }
 
 #[test]
-fn a_class_that_joins_is_known_at_once_and_one_that_leaves_for_a_while() {
-    let mut changing = RequestConfigHistory::new(terms());
-    let mut new = terms();
+fn added_classes_are_known_at_once_and_removed_ones_for_a_while() {
+    let mut history = RequestConfigHistory::new(config());
+    let mut new = config();
     new.names.classes[1] = "sell".into();
-    changing.change(0, new);
-    for at in [0, SETTINGS_EFFECTIVE_AFTER, OVER - 1] {
-        assert_eq!(changing.read(at, &request("sell", true)).unwrap().class, 1, "{at}");
-        assert_eq!(changing.read(at, &request("save", true)).unwrap().class, 1, "{at}");
+    history.update(0, new);
+    for at in [0, SETTINGS_EFFECTIVE_AFTER, PREVIOUS_CONFIG_LIFETIME - 1] {
+        assert_eq!(history.decode(at, &request("sell", true)).unwrap().class, 1, "{at}");
+        assert_eq!(history.decode(at, &request("save", true)).unwrap().class, 1, "{at}");
     }
-    assert!(changing.read(OVER, &request("save", true)).is_err());
-    assert!(changing.read(OVER, &request("sell", true)).is_ok());
+    assert!(history.decode(PREVIOUS_CONFIG_LIFETIME, &request("save", true)).is_err());
+    assert!(history.decode(PREVIOUS_CONFIG_LIFETIME, &request("sell", true)).is_ok());
 }
 
 #[test]
-fn effects_change_when_clients_do_and_the_stricter_holds_about_that_moment() {
-    let old = (0, SETTINGS_EFFECTIVE_AFTER - UNSURE);
-    let new = (SETTINGS_EFFECTIVE_AFTER + UNSURE, OVER - 1);
-    for (semantics, unsure) in [(Semantics::Unsafe, 3), (Semantics::Safe, 0)] {
-        let mut changing = RequestConfigHistory::new(terms());
-        changing.change(0, changed(semantics));
-        let class = |at| changing.read(at, &request("lookup", true)).unwrap().class;
+fn semantics_change_with_the_clients_and_the_stricter_ones_apply_around_the_switch() {
+    let old = (0, SETTINGS_EFFECTIVE_AFTER - SWITCH_UNCERTAINTY);
+    let new = (SETTINGS_EFFECTIVE_AFTER + SWITCH_UNCERTAINTY, PREVIOUS_CONFIG_LIFETIME - 1);
+    for (semantics, stricter) in [(Semantics::Unsafe, 3), (Semantics::Safe, 0)] {
+        let mut history = RequestConfigHistory::new(config());
+        history.update(0, config_with_semantics(semantics));
+        let class = |at| history.decode(at, &request("lookup", true)).unwrap().class;
         assert_eq!([class(old.0), class(old.1), class(new.0), class(new.1)], [0, 0, 3, 3]);
         assert_eq!(
-            [class(SETTINGS_EFFECTIVE_AFTER - UNSURE + 1), class(SETTINGS_EFFECTIVE_AFTER + UNSURE - 1)],
-            [unsure; 2],
+            [
+                class(SETTINGS_EFFECTIVE_AFTER - SWITCH_UNCERTAINTY + 1),
+                class(SETTINGS_EFFECTIVE_AFTER + SWITCH_UNCERTAINTY - 1)
+            ],
+            [stricter; 2],
             "{semantics:?}"
         );
     }
 }
 
 #[test]
-fn a_request_without_the_key_that_its_class_has_just_come_to_need_is_of_the_terms_before() {
-    let mut changing = RequestConfigHistory::new(terms());
-    changing.change(0, changed(Semantics::Keyed { window: 5000.0 }));
-    assert_eq!(changing.read(SETTINGS_EFFECTIVE_AFTER + UNSURE, &request("lookup", false)).unwrap().class, 0);
-    assert_eq!(changing.read(SETTINGS_EFFECTIVE_AFTER + UNSURE, &request("lookup", true)).unwrap().class, 3);
-    assert!(changing.read(OVER, &request("lookup", false)).is_err());
+fn requests_without_a_newly_required_key_use_the_previous_configuration() {
+    let mut history = RequestConfigHistory::new(config());
+    history.update(0, config_with_semantics(Semantics::Keyed { window: 5000.0 }));
+    assert_eq!(
+        history
+            .decode(SETTINGS_EFFECTIVE_AFTER + SWITCH_UNCERTAINTY, &request("lookup", false))
+            .unwrap()
+            .class,
+        0
+    );
+    assert_eq!(
+        history
+            .decode(SETTINGS_EFFECTIVE_AFTER + SWITCH_UNCERTAINTY, &request("lookup", true))
+            .unwrap()
+            .class,
+        3
+    );
+    assert!(history.decode(PREVIOUS_CONFIG_LIFETIME, &request("lookup", false)).is_err());
 }
 
-/// A second word within the time of the first, be it the same file once more, or one that takes a class back: whoever asks
-/// by the terms before both is read by them, as long as the first word says.
+/// Guards against a second announcement shortly after the first, of the same settings or of ones that revert a change,
+/// that ends the lifetime of the oldest configuration early.
 #[test]
-fn a_second_change_does_not_end_the_time_of_the_first() {
-    let mut changing = RequestConfigHistory::new(terms());
-    let mut new = terms();
+fn a_second_change_does_not_shorten_the_lifetime_of_the_oldest_configuration() {
+    let mut history = RequestConfigHistory::new(config());
+    let mut new = config();
     new.names.classes[1] = "sell".into();
-    changing.change(0, new.clone());
-    changing.change(SETTINGS_EFFECTIVE_AFTER / 4, new.clone());
-    assert_eq!(changing.read(SETTINGS_EFFECTIVE_AFTER / 2, &request("save", true)).unwrap().class, 1);
-    assert_eq!(changing.read(OVER - 1, &request("save", true)).unwrap().class, 1);
-    assert!(changing.read(OVER, &request("save", true)).is_err());
-    // More changes than are remembered: what clients go by is the last to be left out.
-    let mut changing = RequestConfigHistory::new(terms());
-    (0..20).for_each(|n| changing.change(n, new.clone()));
-    assert_eq!(changing.read(SETTINGS_EFFECTIVE_AFTER, &request("save", true)).unwrap().class, 1);
-    assert!(changing.before.len() <= MOST_BEFORE);
+    history.update(0, new.clone());
+    history.update(SETTINGS_EFFECTIVE_AFTER / 4, new.clone());
+    assert_eq!(history.decode(SETTINGS_EFFECTIVE_AFTER / 2, &request("save", true)).unwrap().class, 1);
+    assert_eq!(history.decode(PREVIOUS_CONFIG_LIFETIME - 1, &request("save", true)).unwrap().class, 1);
+    assert!(history.decode(PREVIOUS_CONFIG_LIFETIME, &request("save", true)).is_err());
+    // With more changes than are kept, the configuration that clients use is the last one to be dropped.
+    let mut history = RequestConfigHistory::new(config());
+    (0..20).for_each(|n| history.update(n, new.clone()));
+    assert_eq!(history.decode(SETTINGS_EFFECTIVE_AFTER, &request("save", true)).unwrap().class, 1);
+    assert!(history.previous.len() <= MAX_PREVIOUS);
 }
 
-/// Effects that change twice: each terms hold from their own word on, and about each moment the strictest.
+/// With two changes of the semantics, each configuration applies from its own switch on, and the strictest one around each
+/// switch.
 #[test]
-fn each_of_two_changes_has_its_own_moment() {
-    let mut changing = RequestConfigHistory::new(terms());
-    changing.change(0, changed(Semantics::Unsafe));
-    let mut third = changed(Semantics::Unsafe);
+fn two_changes_have_separate_switches() {
+    let mut history = RequestConfigHistory::new(config());
+    history.update(0, config_with_semantics(Semantics::Unsafe));
+    let mut third = config_with_semantics(Semantics::Unsafe);
     let mut class = third.settings.as_ref().unwrap().classes[0].clone();
     class.semantics = Semantics::Keyed { window: 5000.0 };
     third.settings.as_mut().unwrap().classes.push(class);
     third.names.classes.push("lookup".into());
     third.names.removed_classes = [0, 3].into();
-    changing.change(SETTINGS_EFFECTIVE_AFTER, third);
-    let class = |at| changing.read(at, &request("lookup", true)).unwrap().class;
+    history.update(SETTINGS_EFFECTIVE_AFTER, third);
+    let class = |at| history.decode(at, &request("lookup", true)).unwrap().class;
     assert_eq!(
-        [class(0), class(SETTINGS_EFFECTIVE_AFTER - UNSURE), class(SETTINGS_EFFECTIVE_AFTER - UNSURE + 1)],
+        [
+            class(0),
+            class(SETTINGS_EFFECTIVE_AFTER - SWITCH_UNCERTAINTY),
+            class(SETTINGS_EFFECTIVE_AFTER - SWITCH_UNCERTAINTY + 1)
+        ],
         [0, 0, 3]
     );
     assert_eq!(
         [
-            class(SETTINGS_EFFECTIVE_AFTER + UNSURE),
-            class(2 * SETTINGS_EFFECTIVE_AFTER - UNSURE),
+            class(SETTINGS_EFFECTIVE_AFTER + SWITCH_UNCERTAINTY),
+            class(2 * SETTINGS_EFFECTIVE_AFTER - SWITCH_UNCERTAINTY),
             class(2 * SETTINGS_EFFECTIVE_AFTER)
         ],
         [3, 3, 3]
     );
-    assert_eq!(class(2 * SETTINGS_EFFECTIVE_AFTER + UNSURE), 4);
+    assert_eq!(class(2 * SETTINGS_EFFECTIVE_AFTER + SWITCH_UNCERTAINTY), 4);
 }
 
-/// Portions are rounded on their way. A wide query has many, so that their sum may miss by more than that of a few.
+/// Clients send rounded portions, so the sum over a wide query may differ from 1 by more than that over a narrow one.
 #[test]
-fn portions_of_a_wide_query_may_miss_their_sum_by_what_each_was_rounded() {
-    let mut wide = terms();
+fn tolerance_of_the_portion_sum_grows_with_the_number_of_parts() {
+    let mut wide = config();
     wide.settings.as_mut().unwrap().shards = 7800;
-    let ask = |count: usize, portion: &str| {
+    let is_accepted = |count: usize, portion: &str| {
         let ranges: Vec<String> =
             (0..count).map(|n| format!("{{\"range\":{n},\"portion\":{portion}}}")).collect();
         let body = format!("{{\"ranges\":[{}],\"predicate\":\"c41e77d0\"}}", ranges.join(","));
         let request = request("lookup", false).map(|_| body.into_bytes());
-        wide.read(&request).map(|ask| ask.parts.len()).is_ok()
+        wide.decode(&request).map(|query| query.parts.len()).is_ok()
     };
-    // One in 690, to four digits behind the point; in 50, likewise; and what is no rounding.
-    assert!(ask(690, "0.0014") && ask(690, "0.0015"));
-    assert!(ask(50, "0.02") && ask(50, "0.0201") && !ask(50, "0.0203"));
-    assert!(!ask(690, "0.0013") && !ask(690, "0.0016"));
+    // 1/690 and 1/50 rounded to four decimal places, and portions that are further off than rounding explains.
+    assert!(is_accepted(690, "0.0014") && is_accepted(690, "0.0015"));
+    assert!(is_accepted(50, "0.02") && is_accepted(50, "0.0201") && !is_accepted(50, "0.0203"));
+    assert!(!is_accepted(690, "0.0013") && !is_accepted(690, "0.0016"));
 }
--- a/crates/query/src/response.rs
+++ b/crates/query/src/response.rs
@@ -1,4 +1,4 @@
-//! From the end of a query to an HTTP response.
+//! Encoding of answers as HTTP responses.
 
 use crate::RequestConfigHistory;
 use http::header::{ALLOW, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
@@ -8,10 +8,11 @@
 use serde::Serialize;
 use std::time::SystemTime;
 
-/// When a client that found no seat is asked back: by then idle connections and half requests have ended.
-const RETURN: Micros = 2_000_000;
+/// Advised retry time for clients that got no connection slot. By then idle connections and incomplete requests have
+/// timed out.
+const NO_SLOT_RETRY_AFTER: Micros = 2_000_000;
 
-/// A response whose body is whole.
+/// An HTTP response with its complete body.
 pub type Response = http::Response<Vec<u8>>;
 
 #[derive(Serialize)]
@@ -26,7 +27,7 @@
     blob: &'a str,
 }
 
-/// The value of a `Date` field for this time (RFC 9110, section 5.6.7).
+/// Returns the value of a `Date` header for this time (RFC 9110, section 5.6.7).
 pub fn date_header(now: SystemTime) -> HeaderValue {
     HeaderValue::try_from(httpdate::fmt_http_date(now)).unwrap_or(HeaderValue::from_static(""))
 }
@@ -37,7 +38,8 @@
     response
 }
 
-/// An error, with the methods that are allowed instead, if any.
+/// Builds an error response. `allow` lists the allowed methods for the `Allow` header; if it is empty, the header is
+/// left out.
 pub(crate) fn error(status: u16, allow: &'static str, why: &str) -> Response {
     let body = if why.is_empty() { Vec::new() } else { format!("{why}\n").into_bytes() };
     let mut response = response(status, body);
@@ -47,14 +49,15 @@
     response
 }
 
-/// A text for a person or a script, with the methods that are allowed instead, if any.
+/// Builds a plain-text response. `allow` lists the allowed methods for the `Allow` header; if it is empty, the header
+/// is left out.
 pub fn plain_text(status: u16, allow: &'static str, text: &str) -> Response {
     let mut response = error(status, allow, text.trim_end());
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
     response
 }
 
-/// The answer to `OPTIONS *`, which asks about the server as a whole.
+/// Builds the response to `OPTIONS *`, which asks about the server as a whole.
 pub(crate) fn options() -> Response {
     error(204, "GET, HEAD, OPTIONS, POST", "")
 }
@@ -63,15 +66,15 @@
     response(if ready { 200 } else { 503 }, Vec::new())
 }
 
-fn advise(headers: &mut HeaderMap, retry_after: Option<Micros>) {
-    // Seconds, whole or decimal: clients of this protocol read fractions.
-    let seconds = retry_after.map(|at| format!("{:.3}", at as f64 / 1e6));
+fn insert_retry_after(headers: &mut HeaderMap, retry_after: Option<Micros>) {
+    // RFC 9110 allows only whole seconds, but clients of this protocol also read fractions.
+    let seconds = retry_after.map(|time| format!("{:.3}", time as f64 / 1e6));
     if let Some(value) = seconds.and_then(|s| HeaderValue::try_from(s).ok()) {
         headers.insert(RETRY_AFTER, value);
     }
 }
 
-/// Encodes the final answer of a query.
+/// Encodes the final answer of a query as a response.
 pub fn encode_reply(reply: &Reply) -> Response {
     match reply {
         Reply::Answer { whole, values } => {
@@ -83,7 +86,7 @@
         }
         Reply::Refused { retry_after } => {
             let mut response = error(503, "", "refused: trying again is harmless");
-            advise(response.headers_mut(), *retry_after);
+            insert_retry_after(response.headers_mut(), *retry_after);
             response
         }
         Reply::Failed => error(502, "", "failed"),
@@ -91,10 +94,10 @@
     }
 }
 
-/// What a client is told whose connection finds no seat.
-pub fn connection_refusal(terms: &RequestConfigHistory) -> Response {
-    let most = terms.latest().settings.as_ref().and_then(|s| s.max_retry_after);
-    let retry_after = most.map(|most| millis(most).min(RETURN));
+/// Builds the response to a client whose connection is refused because all connection slots are in use.
+pub fn connection_refusal(configs: &RequestConfigHistory) -> Response {
+    let max_retry_after = configs.latest().settings.as_ref().and_then(|s| s.max_retry_after);
+    let retry_after = max_retry_after.map(|max| millis(max).min(NO_SLOT_RETRY_AFTER));
     encode_reply(&Reply::Refused { retry_after })
 }
 
@@ -103,7 +106,7 @@
     use super::*;
 
     #[test]
-    fn refusals_tell_when_to_come_back() {
+    fn refusals_have_a_retry_after_header() {
         let response = encode_reply(&Reply::Refused { retry_after: Some(1_250_400) });
         assert_eq!(
             (response.status().as_u16(), &response.headers()["retry-after"]),
@@ -112,13 +115,13 @@
     }
 
     #[test]
-    fn a_method_that_is_not_allowed_is_told_which_is() {
+    fn method_errors_list_the_allowed_methods() {
         let response = encode_reply(&Reply::Bad { status: 405, why: "a query is a POST".into() });
         assert_eq!(response.headers()["allow"], "POST");
     }
 
     #[test]
-    fn dates_have_the_form_of_the_field() {
+    fn dates_have_the_format_of_http() {
         let at = SystemTime::UNIX_EPOCH + std::time::Duration::from_secs(784_111_777);
         assert_eq!(date_header(at), "Sun, 06 Nov 1994 08:49:37 GMT");
     }
