--- a/crates/core/src/index_table.rs
+++ b/crates/core/src/index_table.rs
@@ -1,8 +1,9 @@
-//! IndexTable of classes and tenants: which index is whose when the settings change.
+//! Assignment of classes and tenants to indices when the settings change.
 //!
-//! A query holds the index of its class until it ends, and its rules are those of that place. So a place is never changed
-//! while it is in use: a class that changes moves to another, and one that leaves keeps its own until it is long empty.
-//! A tenant has one place for as long as it is named, and what one that leaves had holds for its queries.
+//! A query keeps the index of its class until it ends, and the rules at that index apply to it. An entry
+//! therefore never changes while it is in use: a class whose settings change moves to another index, and a
+//! removed class keeps its index until it has had no queries for a long time. A tenant keeps its index as
+//! long as the settings name it, and a removed tenant keeps its settings for its open queries.
 
 use brookbend::Begun;
 use brookbend::api::{Class, ClassIndex, Settings, Tenant};
@@ -11,222 +12,244 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Most places of classes, and of tenants.
+/// Maximum number of indices of classes, and of tenants.
 pub const MAX_INDICES: usize = 256;
-/// A place that was left is used again after this time at the earliest: requests that were read under the old names
-/// reach the queries a turn later, and are read by them for a while after a change.
-const REST: Micros = 30 * SECOND;
+/// Minimum time before the index of a removed class or tenant is reused. Requests are decoded with the
+/// previous names for a while after a change, and they are admitted a turn after they are decoded.
+const RETENTION: Micros = 30 * SECOND;
 
-/// Why settings cannot be taken.
+/// The error when new settings cannot be applied because all indices of classes, or of tenants, are in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooManyIndices(&'static str);
 
 impl fmt::Display for TooManyIndices {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} have changed too often: {MAX_INDICES} places are in use; try again in a minute", self.0)
+        write!(
+            f,
+            "{} have changed too often: all {MAX_INDICES} indices are in use; try again in a minute",
+            self.0
+        )
     }
 }
 
 #[derive(Clone, Debug)]
-struct Place<T> {
+struct Entry<T> {
     name: String,
-    /// What the settings say of it; of one that has left, what they said last.
-    is: T,
-    /// Queries in hand.
-    open: usize,
-    left: Option<Micros>,
+    /// Settings of the class or tenant; for a removed one, its last settings.
+    settings: T,
+    /// Number of open queries.
+    open_queries: usize,
+    /// Time of the removal; `None` while the settings name the class or tenant.
+    removed_at: Option<Micros>,
 }
 
-impl<T> Place<T> {
-    fn new(name: &str, is: T) -> Self {
-        Place { name: name.to_owned(), is, open: 0, left: None }
+impl<T> Entry<T> {
+    fn new(name: &str, settings: T) -> Self {
+        Entry { name: name.to_owned(), settings, open_queries: 0, removed_at: None }
     }
 
-    /// Whether nothing of it is left: neither a query nor a request that was read under its name.
-    fn is_rested(&self, now: Micros) -> bool {
-        self.open == 0 && self.left.is_some_and(|at| now >= at + REST)
+    /// Returns whether the entry was removed and neither an open query nor a decoded request can still refer
+    /// to it.
+    fn is_unused(&self, now: Micros) -> bool {
+        self.open_queries == 0 && self.removed_at.is_some_and(|at| now >= at + RETENTION)
     }
 }
 
-/// All places.
+/// The entries of all classes and tenants, by index.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct IndexTable {
-    classes: Vec<Place<Class>>,
-    tenants: Vec<Place<Tenant>>,
+    classes: Vec<Entry<Class>>,
+    tenants: Vec<Entry<Tenant>>,
 }
 
-/// Settings and names with their indices as the places have them.
+/// Settings and names in the order of the assigned indices.
 #[derive(Clone, Debug)]
 pub struct IndexedSettings {
-    /// What the decisions go by.
+    /// Settings for the decision module.
     pub settings: Settings,
-    /// What requests may name.
+    /// Names that requests may use.
     pub names: Names,
-    /// Tenants that begin at an index which another may have had long before.
+    /// Indices of new tenants. A removed tenant may have had such an index before.
     pub new_tenants: Vec<usize>,
-    pub(crate) at: Micros,
-    pub(crate) begun: Vec<Begun>,
-    places: IndexTable,
+    /// Time at which the indices were computed.
+    pub(crate) indexed_at: Micros,
+    pub(crate) new_classes: Vec<Begun>,
+    table: IndexTable,
 }
 
-/// Without tenants all queries are one's who has no name, and no share that could be passed.
-const NOBODY: (&str, Tenant) = ("", Tenant { quota_per_s: 1e9 });
+/// The tenant of all queries if the settings name no tenants. It has no name, and a quota that is never
+/// exceeded.
+const IMPLICIT_TENANT: (&str, Tenant) = ("", Tenant { quota_per_s: 1e9 });
 
-/// The tenants that the settings have.
-fn tenants<'a>(settings: &'a Settings, names: &'a Names) -> impl Iterator<Item = (&'a str, Tenant)> {
-    let nobody = names.tenants.is_empty().then_some(NOBODY);
-    let share = |i: usize| settings.tenants.get(i).cloned().unwrap_or(NOBODY.1);
-    names.tenants.iter().enumerate().map(move |(i, name)| (name.as_str(), share(i))).chain(nobody)
+/// Returns the names and settings of the tenants, or the implicit tenant if the settings name none.
+fn configured_tenants<'a>(
+    settings: &'a Settings,
+    names: &'a Names,
+) -> impl Iterator<Item = (&'a str, Tenant)> {
+    let implicit = names.tenants.is_empty().then_some(IMPLICIT_TENANT);
+    let tenant = |i: usize| settings.tenants.get(i).cloned().unwrap_or(IMPLICIT_TENANT.1);
+    names.tenants.iter().enumerate().map(move |(i, name)| (name.as_str(), tenant(i))).chain(implicit)
 }
 
-/// A place for one that has none: one that has rested, else a new one.
-fn begin<T>(places: &mut Vec<Place<T>>, now: Micros, place: Place<T>) -> Option<usize> {
-    match places.iter().position(|p| p.is_rested(now)) {
+/// Assigns an index to a new entry: one of an unused entry if there is any, else the next one. Returns `None`
+/// if all indices are in use.
+fn assign_index<T>(entries: &mut Vec<Entry<T>>, now: Micros, entry: Entry<T>) -> Option<usize> {
+    match entries.iter().position(|e| e.is_unused(now)) {
         Some(index) => {
-            places[index] = place;
+            entries[index] = entry;
             Some(index)
         }
-        None if places.len() < MAX_INDICES => {
-            places.push(place);
-            Some(places.len() - 1)
+        None if entries.len() < MAX_INDICES => {
+            entries.push(entry);
+            Some(entries.len() - 1)
         }
         None => None,
     }
 }
 
-/// All but these have left.
-fn leave<T>(places: &mut [Place<T>], now: Micros, live: &BTreeSet<usize>) {
-    for (i, place) in places.iter_mut().enumerate() {
-        if !live.contains(&i) {
-            place.left.get_or_insert(now);
+/// Marks all entries but the current ones as removed.
+fn mark_removed<T>(entries: &mut [Entry<T>], now: Micros, current: &BTreeSet<usize>) {
+    for (i, entry) in entries.iter_mut().enumerate() {
+        if !current.contains(&i) {
+            entry.removed_at.get_or_insert(now);
         }
     }
 }
 
 impl IndexTable {
-    /// At a start: each class and tenant has the place that the settings give it. Without names, they have none.
+    /// Creates the table at the start of a process, with the indices of the settings. Classes without a name
+    /// get an empty one.
     pub(crate) fn new(settings: &Settings, names: &Names) -> Self {
         let name = |i: usize| names.classes.get(i).map_or("", String::as_str);
         let classes = settings.classes.iter().enumerate();
         IndexTable {
-            classes: classes.map(|(i, class)| Place::new(name(i), class.clone())).collect(),
-            tenants: tenants(settings, names).map(|(name, tenant)| Place::new(name, tenant)).collect(),
+            classes: classes.map(|(i, class)| Entry::new(name(i), class.clone())).collect(),
+            tenants: configured_tenants(settings, names)
+                .map(|(name, tenant)| Entry::new(name, tenant))
+                .collect(),
         }
     }
 
-    /// Where everything would be under other settings. Nothing is changed by this.
+    /// Computes the indices under new settings, without changing this table.
     pub(crate) fn plan(
         &self,
         now: Micros,
         new: &Settings,
         names: &Names,
     ) -> Result<IndexedSettings, TooManyIndices> {
-        let mut places = self.clone();
-        let (mut begun, mut tenants_begun) = (Vec::new(), Vec::new());
-        let mut live = BTreeSet::new();
+        let mut table = self.clone();
+        let (mut new_classes, mut new_tenants) = (Vec::new(), Vec::new());
+        let mut current = BTreeSet::new();
         for (class, name) in new.classes.iter().zip(&names.classes) {
-            let current = places.classes.iter().position(|p| p.left.is_none() && p.name == *name);
-            if let Some(same) = current.filter(|i| places.classes[*i].is == *class) {
-                live.insert(same);
+            let previous = table.classes.iter().position(|e| e.removed_at.is_none() && e.name == *name);
+            if let Some(unchanged) = previous.filter(|i| table.classes[*i].settings == *class) {
+                current.insert(unchanged);
                 continue;
             }
-            let place = Place::new(name, class.clone());
-            let index = begin(&mut places.classes, now, place).ok_or(TooManyIndices("classes"))?;
-            live.insert(index);
-            begun.push(Begun { class: ClassIndex(index), heir_of: current.map(ClassIndex) });
+            let entry = Entry::new(name, class.clone());
+            let index = assign_index(&mut table.classes, now, entry).ok_or(TooManyIndices("classes"))?;
+            current.insert(index);
+            new_classes.push(Begun { class: ClassIndex(index), heir_of: previous.map(ClassIndex) });
         }
-        leave(&mut places.classes, now, &live);
-        let mut live = BTreeSet::new();
-        for (name, tenant) in tenants(new, names) {
-            let index = match places.tenants.iter().position(|p| p.name == name) {
-                // One that comes back has what it had.
-                Some(same) => {
-                    (places.tenants[same].is, places.tenants[same].left) = (tenant, None);
-                    same
+        mark_removed(&mut table.classes, now, &current);
+        let mut current = BTreeSet::new();
+        for (name, tenant) in configured_tenants(new, names) {
+            let index = match table.tenants.iter().position(|e| e.name == name) {
+                // A removed tenant that is named again gets its old index.
+                Some(index) => {
+                    (table.tenants[index].settings, table.tenants[index].removed_at) = (tenant, None);
+                    index
                 }
                 None => {
-                    let place = Place::new(name, tenant);
-                    let index = begin(&mut places.tenants, now, place).ok_or(TooManyIndices("tenants"))?;
-                    tenants_begun.push(index);
+                    let entry = Entry::new(name, tenant);
+                    let index =
+                        assign_index(&mut table.tenants, now, entry).ok_or(TooManyIndices("tenants"))?;
+                    new_tenants.push(index);
                     index
                 }
             };
-            live.insert(index);
+            current.insert(index);
         }
-        leave(&mut places.tenants, now, &live);
+        mark_removed(&mut table.tenants, now, &current);
         Ok(IndexedSettings {
-            settings: places.settings(now, new),
-            names: places.names(names),
-            new_tenants: tenants_begun,
-            at: now,
-            begun,
-            places,
+            settings: table.settings(now, new),
+            names: table.names(names),
+            new_tenants,
+            indexed_at: now,
+            new_classes,
+            table,
         })
     }
 
-    /// The settings with their classes and tenants as the places have them at this moment.
+    /// Returns the settings with the classes and tenants of this table at time `now`.
     pub(crate) fn settings(&self, now: Micros, new: &Settings) -> Settings {
-        // The aims of classes that have left count for nothing but their own queries; the decisions go by the shortest.
-        let live = self.classes.iter().filter(|p| p.left.is_none());
-        let shortest = live.map(|p| p.is.aim).fold(f64::INFINITY, f64::min);
-        let class = |p: &Place<Class>| match p.is_rested(now) {
-            true => Class { aim: p.is.aim.max(shortest), ..p.is.clone() },
-            false => p.is.clone(),
+        // The decision module uses the shortest aim of all classes. The aim of a removed class must no longer
+        // count once the class is unused.
+        let current = self.classes.iter().filter(|e| e.removed_at.is_none());
+        let shortest = current.map(|e| e.settings.aim).fold(f64::INFINITY, f64::min);
+        let class = |e: &Entry<Class>| match e.is_unused(now) {
+            true => Class { aim: e.settings.aim.max(shortest), ..e.settings.clone() },
+            false => e.settings.clone(),
         };
         Settings {
             classes: self.classes.iter().map(class).collect(),
-            tenants: self.tenants.iter().map(|p| p.is.clone()).collect(),
+            tenants: self.tenants.iter().map(|e| e.settings.clone()).collect(),
             ..new.clone()
         }
     }
 
     fn names(&self, new: &Names) -> Names {
-        fn left<T>(places: &[Place<T>]) -> BTreeSet<usize> {
-            (0..places.len()).filter(|i| places[*i].left.is_some()).collect()
+        fn removed<T>(entries: &[Entry<T>]) -> BTreeSet<usize> {
+            (0..entries.len()).filter(|i| entries[*i].removed_at.is_some()).collect()
         }
         Names {
-            classes: self.classes.iter().map(|p| p.name.clone()).collect(),
-            tenants: self.tenants.iter().map(|p| p.name.clone()).collect(),
+            classes: self.classes.iter().map(|e| e.name.clone()).collect(),
+            tenants: self.tenants.iter().map(|e| e.name.clone()).collect(),
             zones: new.zones.clone(),
-            removed_classes: left(&self.classes),
-            removed_tenants: left(&self.tenants),
+            removed_classes: removed(&self.classes),
+            removed_tenants: removed(&self.tenants),
         }
     }
 
-    /// When a class that has left counts for nothing any more, if one does still.
-    pub(crate) fn rest_at(&self, now: Micros) -> Option<Micros> {
-        let resting = self.classes.iter().filter(|p| !p.is_rested(now)).filter_map(|p| p.left);
-        resting.min().map(|at| (at + REST).max(now + REST / 30))
+    /// Returns the time at which the next removed class may have become unused; `None` if there is no such
+    /// class.
+    pub(crate) fn next_retention_check(&self, now: Micros) -> Option<Micros> {
+        let in_use = self.classes.iter().filter(|e| !e.is_unused(now)).filter_map(|e| e.removed_at);
+        in_use.min().map(|at| (at + RETENTION).max(now + RETENTION / 30))
     }
 
-    /// The longest time that a client of a class in force waits.
-    pub(crate) fn longest_wait(&self) -> Micros {
-        let live = self.classes.iter().filter(|p| p.left.is_none());
-        live.map(|p| millis(p.is.give_up)).max().unwrap_or(0)
+    /// Returns the longest time that a client of any current class waits.
+    pub(crate) fn max_client_timeout(&self) -> Micros {
+        let current = self.classes.iter().filter(|e| e.removed_at.is_none());
+        current.map(|e| millis(e.settings.give_up)).max().unwrap_or(0)
     }
 
-    /// Goes by what was planned; what is open since is counted still.
-    pub(crate) fn adopt(&mut self, placed: &IndexedSettings) {
-        let before = std::mem::replace(self, placed.places.clone());
-        self.classes.iter_mut().zip(before.classes).for_each(|(p, before)| p.open = before.open);
-        self.tenants.iter_mut().zip(before.tenants).for_each(|(p, before)| p.open = before.open);
+    /// Replaces the entries by those of `indexed`. The counts of open queries are kept, since queries may
+    /// have been opened and closed after the indices were computed.
+    pub(crate) fn apply(&mut self, indexed: &IndexedSettings) {
+        let previous = std::mem::replace(self, indexed.table.clone());
+        self.classes.iter_mut().zip(previous.classes).for_each(|(e, p)| e.open_queries = p.open_queries);
+        self.tenants.iter_mut().zip(previous.tenants).for_each(|(e, p)| e.open_queries = p.open_queries);
     }
 
-    /// The names of the classes in force, by index; empty where one has left.
-    pub(crate) fn live(&self) -> Vec<String> {
-        self.classes.iter().map(|p| if p.left.is_none() { p.name.clone() } else { String::new() }).collect()
+    /// Returns the names of the classes, by index. The name of a removed class is empty.
+    pub(crate) fn current_class_names(&self) -> Vec<String> {
+        self.classes
+            .iter()
+            .map(|e| if e.removed_at.is_none() { e.name.clone() } else { String::new() })
+            .collect()
     }
 
-    /// A query of a class and a tenant is in hand.
-    pub(crate) fn open(&mut self, class: usize, tenant: usize) {
-        self.classes.get_mut(class).into_iter().for_each(|place| place.open += 1);
-        self.tenants.get_mut(tenant).into_iter().for_each(|place| place.open += 1);
+    /// Counts a new open query of a class and a tenant.
+    pub(crate) fn open_query(&mut self, class: usize, tenant: usize) {
+        self.classes.get_mut(class).into_iter().for_each(|entry| entry.open_queries += 1);
+        self.tenants.get_mut(tenant).into_iter().for_each(|entry| entry.open_queries += 1);
     }
 
-    /// It has ended.
-    pub(crate) fn close(&mut self, class: usize, tenant: usize) {
-        self.classes.get_mut(class).into_iter().for_each(|place| place.open -= 1);
-        self.tenants.get_mut(tenant).into_iter().for_each(|place| place.open -= 1);
+    /// Counts the end of a query of a class and a tenant.
+    pub(crate) fn close_query(&mut self, class: usize, tenant: usize) {
+        self.classes.get_mut(class).into_iter().for_each(|entry| entry.open_queries -= 1);
+        self.tenants.get_mut(tenant).into_iter().for_each(|entry| entry.open_queries -= 1);
     }
 }
 
--- a/crates/core/src/index_table/tests.rs
+++ b/crates/core/src/index_table/tests.rs
@@ -12,53 +12,57 @@
 }
 
 #[test]
-fn a_class_that_changes_moves_and_its_queries_keep_their_own() {
+fn a_changed_class_gets_a_new_index_and_open_queries_keep_the_old_one() {
     let (old, names) = settings();
-    let mut places = IndexTable::new(&old, &names);
-    places.open(0, 0);
+    let mut table = IndexTable::new(&old, &names);
+    table.open_query(0, 0);
     let mut new = old.clone();
     new.classes[0].semantics = Semantics::Unsafe;
-    let placed = places.plan(0, &new, &names).unwrap();
-    assert_eq!(placed.settings.classes[0].semantics, Semantics::Safe);
-    assert_eq!(placed.names.class("lookup"), Some(3));
-    assert_eq!(placed.settings.classes[3].semantics, Semantics::Unsafe);
-    assert_eq!(placed.begun, [Begun { class: ClassIndex(3), heir_of: Some(ClassIndex(0)) }]);
-    places.adopt(&placed);
-    // Back again, long after: its first place is still held by a query, and is not used again.
-    let again = places.plan(10 * REST, &old, &names).unwrap();
-    assert_eq!(again.names.class("lookup"), Some(4));
-    places.close(0, 0);
-    assert_eq!(places.plan(10 * REST, &old, &names).unwrap().names.class("lookup"), Some(0));
-    assert_eq!(places.plan(REST - 1, &old, &names).unwrap().names.class("lookup"), Some(4), "too soon");
+    let indexed = table.plan(0, &new, &names).unwrap();
+    assert_eq!(indexed.settings.classes[0].semantics, Semantics::Safe);
+    assert_eq!(indexed.names.class("lookup"), Some(3));
+    assert_eq!(indexed.settings.classes[3].semantics, Semantics::Unsafe);
+    assert_eq!(indexed.new_classes, [Begun { class: ClassIndex(3), heir_of: Some(ClassIndex(0)) }]);
+    table.apply(&indexed);
+    // The change is reverted long after: an open query still uses the first index, so it is not reused.
+    let reverted = table.plan(10 * RETENTION, &old, &names).unwrap();
+    assert_eq!(reverted.names.class("lookup"), Some(4));
+    table.close_query(0, 0);
+    assert_eq!(table.plan(10 * RETENTION, &old, &names).unwrap().names.class("lookup"), Some(0));
+    assert_eq!(
+        table.plan(RETENTION - 1, &old, &names).unwrap().names.class("lookup"),
+        Some(4),
+        "within the retention time"
+    );
 }
 
 #[test]
-fn classes_and_tenants_join_and_leave() {
+fn classes_and_tenants_are_added_and_removed() {
     let (old, mut names) = settings();
-    let places = IndexTable::new(&old, &names);
+    let table = IndexTable::new(&old, &names);
     let mut new = old.clone();
     new.classes.remove(1);
     names.classes = vec!["lookup".into(), "ranking".into()];
     names.tenants = vec!["other".into()];
-    let placed = places.plan(0, &new, &names).unwrap();
+    let indexed = table.plan(0, &new, &names).unwrap();
     assert_eq!(
-        [placed.names.class("lookup"), placed.names.class("save"), placed.names.class("ranking")],
+        [indexed.names.class("lookup"), indexed.names.class("save"), indexed.names.class("ranking")],
         [Some(0), None, Some(2)]
     );
-    assert_eq!((placed.names.tenant(b"acme"), placed.names.tenant(b"other")), (None, Some(1)));
-    assert_eq!((placed.settings.classes.len(), placed.settings.tenants.len()), (3, 2));
+    assert_eq!((indexed.names.tenant(b"acme"), indexed.names.tenant(b"other")), (None, Some(1)));
+    assert_eq!((indexed.settings.classes.len(), indexed.settings.tenants.len()), (3, 2));
 }
 
 #[test]
-fn too_many_changes_are_told() {
+fn too_many_changes_are_an_error() {
     let (old, names) = settings();
-    let mut places = IndexTable::new(&old, &names);
+    let mut table = IndexTable::new(&old, &names);
     let mut new = old.clone();
     let error = (0..).find_map(|n| {
         new.classes[0].aim = 1000.0 + f64::from(n);
-        match places.plan(0, &new, &names) {
-            Ok(placed) => {
-                places.adopt(&placed);
+        match table.plan(0, &new, &names) {
+            Ok(indexed) => {
+                table.apply(&indexed);
                 None
             }
             Err(error) => Some((n, error)),
@@ -68,32 +72,32 @@
 }
 
 proptest! {
-    /// Whatever changes come, and whatever is open meanwhile: no query's class ever changes under it.
+    /// The settings of the class of an open query never change, whatever changes of the settings and queries come.
     #[test]
-    fn no_class_changes_under_a_query(moves in prop::collection::vec((0u8..3, 0usize..3, 0u64..20), 1..80)) {
-        let (mut set, names) = settings();
-        let mut places = IndexTable::new(&set, &names);
-        let mut placed = places.plan(0, &set, &names).unwrap();
+    fn settings_of_the_class_of_an_open_query_never_change(steps in prop::collection::vec((0u8..3, 0usize..3, 0u64..20), 1..80)) {
+        let (mut settings, names) = settings();
+        let mut table = IndexTable::new(&settings, &names);
+        let mut indexed = table.plan(0, &settings, &names).unwrap();
         let mut open: Vec<(usize, Class)> = Vec::new();
         let mut now = 0;
-        for (what, n, wait) in moves {
+        for (step, n, wait) in steps {
             now += wait * SECOND;
-            match what {
+            match step {
                 0 => {
-                    set.classes[n].aim += 1.0;
-                    placed = places.plan(now, &set, &names).unwrap();
-                    places.adopt(&placed);
+                    settings.classes[n].aim += 1.0;
+                    indexed = table.plan(now, &settings, &names).unwrap();
+                    table.apply(&indexed);
                 }
                 1 => {
-                    let class = placed.names.class(&names.classes[n]).unwrap();
-                    places.open(class, 0);
-                    open.push((class, placed.settings.classes[class].clone()));
+                    let class = indexed.names.class(&names.classes[n]).unwrap();
+                    table.open_query(class, 0);
+                    open.push((class, indexed.settings.classes[class].clone()));
                 }
                 _ if open.is_empty() => {}
-                _ => places.close(open.swap_remove(n % open.len()).0, 0),
+                _ => table.close_query(open.swap_remove(n % open.len()).0, 0),
             }
-            for (class, began) in &open {
-                prop_assert_eq!(&places.classes[*class].is, began);
+            for (class, opened_with) in &open {
+                prop_assert_eq!(&table.classes[*class].settings, opened_with);
             }
         }
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,10 @@
-//! The facade of the decisions, in blocking style: hand in what a turn brought, carry out what comes back.
+//! Synchronous facade of the decision module `brookbend`: the caller passes in the events of a turn and
+//! carries out the returned decisions.
 //!
-//! It knows no protocol. Queries, parts and servers are numbers and names here, so any front can go through the
-//! same decisions and rules. It alone sees the module's events and actions, and it alone counts what is open:
-//! a query enters in [`Core::pick`] and leaves with its one [`Completion`] or in [`Core::client_gone`].
+//! The facade is independent of protocols. It identifies queries, parts and servers by numbers and names, so
+//! every front uses the same decisions and rules. Only this package uses the events and actions of the
+//! decision module, and only this package counts open queries: a query is opened in [`Core::pick`] and closed
+//! by its single [`Completion`] or by [`Core::client_gone`].
 
 mod index_table;
 
@@ -24,273 +26,297 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A query that wants answers from its shards.
+/// A new query.
 #[derive(Clone, Debug)]
 pub struct Query {
-    /// Its number.
+    /// Number of the query, which is never reused.
     pub id: QueryId,
-    /// Index of its class.
+    /// Index of the class of the query.
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of the tenant of the query.
     pub tenant: usize,
-    /// When its client gives up.
+    /// Time until which the client waits for an answer.
     pub give_up_at: Micros,
-    /// What the operator sets for it.
+    /// Limits that the operator configured for the query.
     pub limits: Arc<QueryLimits>,
-    /// Whether its client marked it as a repeat.
+    /// Whether the client marked the query as a retry of an earlier one.
     pub again: bool,
-    /// Its parts.
+    /// Parts of the query, one for each shard that it reads.
     pub parts: Vec<PartSpec>,
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The attempt.
+    /// The attempt that ended.
     pub attempt: AttemptId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since it was dispatched; of one that was served, since its connection was up, if that is later.
+    /// Time in microseconds since the attempt was dispatched. For a served attempt it counts from the time at
+    /// which the connection was established, if that is later.
     pub elapsed: Micros,
-    /// How much the server said it holds.
+    /// Load that the server reported; `None` if it reported none.
     pub load: Option<f64>,
-    /// Of one that was answered: since when the connection is up that brought the answer, if that is known.
+    /// Time at which the connection that delivered the answer was established. `None` if that is unknown or
+    /// the attempt was not answered.
     pub connected_at: Option<Micros>,
 }
 
 /// An attempt to send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dispatch {
-    /// The attempt.
+    /// The attempt to send.
     pub attempt: AttemptId,
-    /// Where to.
+    /// Name of the server to send the attempt to.
     pub server: NodeId,
-    /// When to stop waiting for it.
+    /// Time until which to wait for the answer.
     pub deadline: Micros,
 }
 
-/// How a query ends.
+/// The final decision on a query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// Answer from the parts that are in.
+    /// The query is answered from the parts that have been served.
     Answer {
-        /// Whether the answer is whole.
+        /// Whether the answer is complete, as opposed to a partial one.
         whole: bool,
     },
-    /// Not served; trying again is harmless.
+    /// The query is not served, and a retry is safe.
     Refuse {
-        /// When to come back.
+        /// Time in microseconds after which the client may retry; `None` if no time is advised.
         retry_after: Option<Micros>,
     },
-    /// Not served, promising nothing.
+    /// The query is not served, and parts of it may have been executed.
     Fail,
 }
 
-/// The one final answer of a query.
+/// The end of a query. Each query gets at most one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Completion {
-    /// The query.
+    /// Number of the query that ends.
     pub query: QueryId,
-    /// How it ends.
+    /// The decision on the query.
     pub verdict: Verdict,
 }
 
-/// What is to be done, in the order give up, finish, dispatch.
+/// Decisions for the caller to carry out, in the order cancel, complete, dispatch.
 #[derive(Debug, Default, PartialEq)]
 pub struct Decisions {
-    /// Attempts to stop waiting for. Each still gets its report.
+    /// Attempts to cancel. Each of them must still be reported when it has ended.
     pub cancel: Vec<AttemptId>,
-    /// Completion answers to give at once.
+    /// Queries to answer at once.
     pub completions: Vec<Completion>,
     /// Attempts to send.
     pub dispatches: Vec<Dispatch>,
-    /// Queries among the final answers that there was no room for.
+    /// Number of `completions` that were refused because the maximum of open units was reached.
     pub refused_full: usize,
-    /// Queries among the final answers that the decisions had left to run out of time.
+    /// Number of `completions` that the decision module left open until shortly before their deadline.
     pub overdue: usize,
 }
 
-/// What others saw at a server over some time.
+/// Counts of attempts at a server over some time, as reported by other clients of the server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerStats {
-    /// The server.
+    /// Name of the server.
     pub server: NodeId,
-    /// Attempts that were served.
+    /// Number of served attempts.
     pub served: u64,
-    /// Attempts that failed with an answer.
+    /// Number of attempts that were answered with an error.
     pub errors: u64,
-    /// Attempts that ended without one.
+    /// Number of attempts that ended without an answer.
     pub lost: u64,
-    /// Mean time of those that were served; `None`: not told.
+    /// Mean time in microseconds of the served attempts; `None` if it was not reported.
     pub mean_elapsed: Option<Micros>,
 }
 
-struct Open {
+/// An open query.
+struct OpenQuery {
     class: usize,
     tenant: usize,
-    /// An attempt is given up after this time.
-    attempt_time_out: Micros,
-    /// Attempts dispatched so far, by part: the module numbers them by their order alone.
+    /// Time after which an attempt is cancelled.
+    attempt_timeout: Micros,
+    /// Number of attempts dispatched so far, by part. The decision module numbers attempts only by their
+    /// order.
     attempts: Vec<u32>,
     give_up_at: Micros,
 }
 
-/// The decisions, and what they have in hand.
+/// The decision module with its settings and open queries.
 pub struct Core {
     aggregator: Aggregator,
     settings: Settings,
+    /// Maximum number of units (queries and parts) that all processes of this broker may have open together.
     max_open: usize,
-    /// Queries and parts that other processes of this broker have in hand, and how many processes there are.
-    elsewhere: usize,
-    copies: usize,
-    /// Queries and parts in hand.
-    held: usize,
-    open: BTreeMap<QueryId, Open>,
-    /// The open queries by the time at which their clients give up.
-    ends: BTreeSet<(Micros, QueryId)>,
-    /// Events that go in with the next call.
+    /// Number of units that the other processes of this broker have open.
+    sibling_units: usize,
+    /// Number of processes of this broker.
+    processes: usize,
+    /// Number of units that this process has open.
+    units_in_use: usize,
+    open: BTreeMap<QueryId, OpenQuery>,
+    /// The open queries, ordered by deadline.
+    deadlines: BTreeSet<(Micros, QueryId)>,
+    /// Events to pass to the decision module in the next call.
     staged: Vec<Event>,
     wake_at: Option<Micros>,
-    places: IndexTable,
-    /// What comes is over by then: the program is to end.
-    answer_by: Micros,
-    /// What holds beside the settings until these bind, where it is stricter.
-    before: Option<Before>,
-    /// When a class that has left ceases to count.
-    rest_at: Option<Micros>,
+    index_table: IndexTable,
+    /// Time by which all queries must be finished because the process ends; `Micros::MAX` until that is set.
+    finish_by: Micros,
+    /// Limits of the previous settings. Until the new settings take effect, the stricter of both apply.
+    previous_limits: Option<PreviousLimits>,
+    /// Time at which the settings are computed again because a removed class may be unused by then.
+    retention_check_at: Option<Micros>,
 }
 
-/// What the settings before had.
+/// Limits of the settings that were in force before a change.
 #[derive(Clone, Copy)]
-struct Before {
+struct PreviousLimits {
+    /// Time at which the new settings take effect.
     until: Micros,
-    /// So many attempts at a part at the most.
-    attempts: u32,
-    /// So long clients wait at the most.
-    wait: Micros,
+    /// Maximum number of attempts at a part.
+    max_attempts: u32,
+    /// Longest time that a client waits.
+    max_client_timeout: Micros,
 }
 
 impl Core {
-    /// A core that may hold so many queries and parts.
+    /// Creates a core with at most `max_open` open queries and parts together.
     pub fn new(settings: Settings, max_open: usize, seed: u64) -> Self {
         Core {
-            places: IndexTable::new(&settings, &Names::default()),
-            answer_by: Micros::MAX,
-            before: None,
-            rest_at: None,
+            index_table: IndexTable::new(&settings, &Names::default()),
+            finish_by: Micros::MAX,
+            previous_limits: None,
+            retention_check_at: None,
             aggregator: Aggregator::new(settings.clone(), seed),
             settings,
             max_open,
-            elsewhere: 0,
-            copies: 1,
-            held: 0,
+            sibling_units: 0,
+            processes: 1,
+            units_in_use: 0,
             open: BTreeMap::new(),
-            ends: BTreeSet::new(),
+            deadlines: BTreeSet::new(),
             staged: Vec::new(),
             wake_at: Some(0),
         }
     }
 
-    /// Names the classes and tenants that the settings number, so that other settings can be told from these.
+    /// Sets the names of the classes and tenants, so that a later change of the settings can be matched by
+    /// name.
     #[must_use]
     pub fn with_names(mut self, names: &Names) -> Self {
-        self.places = IndexTable::new(&self.settings, names);
+        self.index_table = IndexTable::new(&self.settings, names);
         self
     }
 
-    /// Where classes and tenants would be under other settings. Nothing is changed by this.
+    /// Computes the indices of classes and tenants under new settings. This changes nothing; pass the result
+    /// to [`Core::retune`] to apply it.
     pub fn index_settings(
         &self,
         now: Micros,
         settings: &Settings,
         names: &Names,
     ) -> Result<IndexedSettings, TooManyIndices> {
-        self.places.plan(now, settings, names)
-    }
-
-    /// Goes by other settings, as [`Core::index_settings`] placed them, for queries that come from now on. What is known of servers
-    /// stays. Until `bind` the settings before hold as to attempts, where they allow fewer.
-    pub fn retune(&mut self, placed: &IndexedSettings, max_open: usize, bind: Micros) {
-        // A second change within the time of the first must not end that.
-        let before = self.before.filter(|before| placed.at < before.until);
-        let (attempts, wait) = (self.settings.max_attempts, self.places.longest_wait());
-        self.before = Some(Before {
-            until: bind,
-            attempts: before.map_or(attempts, |before| before.attempts.min(attempts)),
-            wait: before.map_or(wait, |before| before.wait.min(wait)),
+        self.index_table.plan(now, settings, names)
+    }
+
+    /// Applies new settings, as indexed by [`Core::index_settings`], to queries that arrive from now on.
+    /// Learned state of servers is kept. Until `effective_at` the limits of the previous settings also apply
+    /// where they are stricter.
+    pub fn retune(&mut self, indexed: &IndexedSettings, max_open: usize, effective_at: Micros) {
+        // A second change before the first has taken effect must not lift the limits that the first one still
+        // keeps.
+        let pending = self.previous_limits.filter(|limits| indexed.indexed_at < limits.until);
+        let (max_attempts, max_timeout) = (self.settings.max_attempts, self.index_table.max_client_timeout());
+        self.previous_limits = Some(PreviousLimits {
+            until: effective_at,
+            max_attempts: pending.map_or(max_attempts, |limits| limits.max_attempts.min(max_attempts)),
+            max_client_timeout: pending
+                .map_or(max_timeout, |limits| limits.max_client_timeout.min(max_timeout)),
         });
-        self.places.adopt(placed);
-        self.rest_at = self.places.rest_at(placed.at);
-        self.settings = placed.settings.clone();
+        self.index_table.apply(indexed);
+        self.retention_check_at = self.index_table.next_retention_check(indexed.indexed_at);
+        self.settings = indexed.settings.clone();
         self.max_open = max_open;
-        self.aggregator.retune(self.shared_settings(), &placed.begun);
-        self.aggregator.forget_tenants(&placed.new_tenants);
+        self.aggregator.retune(self.shared_settings(), &indexed.new_classes);
+        self.aggregator.forget_tenants(&indexed.new_tenants);
     }
 
-    /// All queries are over by then, whatever their clients would wait: those in hand, and those that come from now on.
+    /// Sets the time by which all open and future queries must be finished, even if their clients would wait
+    /// longer.
     pub fn finish_by(&mut self, at: Micros) {
-        self.answer_by = at;
+        self.finish_by = at;
         self.aggregator.end_by(to_ms(at));
-        for (was, query) in self.ends.split_off(&(at, QueryId::MAX)) {
+        for (previous, query) in self.deadlines.split_off(&(at, QueryId::MAX)) {
             if let Some(open) = self.open.get_mut(&query) {
-                debug_assert_eq!(open.give_up_at, was);
+                debug_assert_eq!(open.give_up_at, previous);
                 open.give_up_at = at;
-                self.ends.insert((at, query));
+                self.deadlines.insert((at, query));
             }
         }
     }
 
-    /// The longest time that a client of any class in force waits; until other settings bind, by the shorter of both.
+    /// Returns the longest time that a client of any current class waits. Until new settings take effect, it
+    /// is the shorter one of the previous and the new settings.
     pub fn max_client_timeout(&self, now: Micros) -> Micros {
-        let before = self.before.filter(|before| now < before.until).map(|before| before.wait);
-        before.into_iter().chain([self.places.longest_wait()]).min().unwrap_or(0)
+        let previous =
+            self.previous_limits.filter(|limits| now < limits.until).map(|limits| limits.max_client_timeout);
+        previous.into_iter().chain([self.index_table.max_client_timeout()]).min().unwrap_or(0)
     }
 
-    /// What the broker's own thread needs for a part, and from one turn to the next, as of late; and how long it has been
-    /// busy since the start, as the turn begins.
+    /// Sets the overhead of the broker's own thread: its recent time per part and per turn, and its total
+    /// busy time since the start, in microseconds, at the beginning of this turn.
     pub fn set_own_time(&mut self, part: Duration, turn: Duration, busy: Micros) {
         let ms = |time: Duration| time.as_secs_f64() * 1e3;
         self.aggregator.set_own_time(OwnTime { part: ms(part), turn: ms(turn), busy: to_ms(busy) });
     }
 
-    /// The room that queries of other processes of this broker take.
+    /// Sets the number of units (queries and parts) that the other processes of this broker have open.
     pub fn set_sibling_units(&mut self, units: usize) {
-        self.elsewhere = units;
+        self.sibling_units = units;
     }
 
-    /// So many processes are this broker from now on: what all brokers may send to a cold server is divided among more.
-    pub fn set_process_count(&mut self, copies: u32) {
-        let copies = copies.max(1) as usize;
-        if std::mem::replace(&mut self.copies, copies) != copies {
+    /// Sets the number of processes of this broker. The number of parts that all brokers may send to a cold
+    /// server is divided among all processes.
+    pub fn set_process_count(&mut self, processes: u32) {
+        let processes = processes.max(1) as usize;
+        if std::mem::replace(&mut self.processes, processes) != processes {
             self.aggregator.retune(self.shared_settings(), &[]);
         }
     }
 
+    /// Returns the settings with each process counted as an aggregator.
     fn shared_settings(&self) -> Settings {
-        let aggregators = self.settings.aggregators.saturating_mul(self.copies);
+        let aggregators = self.settings.aggregators.saturating_mul(self.processes);
         Settings { aggregators, ..self.settings.clone() }
     }
 
-    /// What is known of servers and classes, for a process that takes over.
+    /// Returns the learned state of servers and classes for a successor process. `rev` is the version of the
+    /// list.
     pub fn recall(&self, now: Micros, rev: u64) -> Recall {
         let mut recall = self.aggregator.recall(to_ms(now));
         recall.rev = rev;
-        for (class, name) in recall.classes.iter_mut().zip(self.places.live()) {
+        for (class, name) in recall.classes.iter_mut().zip(self.index_table.current_class_names()) {
             class.name = name;
         }
         recall
     }
 
-    /// Takes what a process before this one knew, this long ago.
+    /// Restores the learned state of a predecessor process, which was recorded `age` microseconds ago.
     pub fn remember(&mut self, now: Micros, age: Micros, recall: &Recall) {
         let known =
             |name: String| recall.classes.iter().find(|c| !name.is_empty() && c.name == name).cloned();
-        let classes = self.places.live().into_iter().map(|name| known(name).unwrap_or_default()).collect();
+        let classes = self
+            .index_table
+            .current_class_names()
+            .into_iter()
+            .map(|name| known(name).unwrap_or_default())
+            .collect();
         let recall = Recall { classes, ..recall.clone() };
         self.aggregator.remember(to_ms(now), to_ms(age), &recall);
     }
 
-    /// Takes news of the list of servers. It counts from the next call on.
+    /// Applies an update of the list of servers. It takes effect with the next call of [`Core::pick`],
+    /// [`Core::report`] or [`Core::tick`].
     pub fn update_servers(&mut self, scope: ListScope, servers: Vec<ServerInfo>) {
         let kind = match scope {
             ListScope::Cached => ListKind::Disk,
@@ -307,22 +333,22 @@
         self.staged.push(Event::List { kind, members: servers.into_iter().map(member).collect() });
     }
 
-    /// The query's client has gone away: nothing more is owed.
+    /// Closes a query because its client has disconnected. It gets no completion.
     pub fn client_gone(&mut self, query: QueryId) {
         if self.close(query) {
             self.staged.push(Event::Gone(RequestId::Query(query)));
         }
     }
 
-    /// No attempt at this part of a query can be sent any more: the query is to do without it. It counts from the next call
-    /// on.
+    /// Omits a part of a query because no attempt at it can be sent any more. This takes effect with the next
+    /// call of [`Core::pick`], [`Core::report`] or [`Core::tick`].
     pub fn omit_part(&mut self, query: QueryId, part: usize) {
         if self.open.contains_key(&query) {
             self.staged.push(Event::Unreachable(part_id(query, part)));
         }
     }
 
-    /// Takes the attempts that ended.
+    /// Processes the attempts that ended.
     pub fn report(&mut self, now: Micros, reports: Vec<Report>) -> Decisions {
         if reports.is_empty() {
             return Decisions::default();
@@ -339,29 +365,31 @@
         self.run(now)
     }
 
-    /// Takes the queries that came. One that there is no room for is refused before the decisions see it.
+    /// Opens the queries that arrived. A query that would exceed the maximum of open units is refused without
+    /// asking the decision module.
     pub fn pick(&mut self, now: Micros, queries: Vec<Query>) -> Decisions {
         if queries.is_empty() {
             return Decisions::default();
         }
         let mut refused = Vec::new();
-        let before = self.before.filter(|before| now < before.until).map(|before| before.attempts);
+        let previous_max_attempts =
+            self.previous_limits.filter(|limits| now < limits.until).map(|limits| limits.max_attempts);
         for q in queries {
-            let needs = 1 + q.parts.len();
-            if self.held + self.elsewhere + needs > self.max_open {
+            let units = 1 + q.parts.len();
+            if self.units_in_use + self.sibling_units + units > self.max_open {
                 let retry_after = self.retry_after_when_full(q.class);
                 refused.push(Completion { query: q.id, verdict: Verdict::Refuse { retry_after } });
                 continue;
             }
-            self.held += needs;
-            let time_out = q.limits.timeout.map_or(Micros::MAX, |time_out| now.saturating_add(time_out));
-            let give_up_at = q.give_up_at.min(time_out).min(self.answer_by);
-            self.ends.insert((give_up_at, q.id));
-            let attempt_time_out = q.limits.attempt_timeout.unwrap_or(Micros::MAX);
+            self.units_in_use += units;
+            let timeout_at = q.limits.timeout.map_or(Micros::MAX, |timeout| now.saturating_add(timeout));
+            let give_up_at = q.give_up_at.min(timeout_at).min(self.finish_by);
+            self.deadlines.insert((give_up_at, q.id));
+            let attempt_timeout = q.limits.attempt_timeout.unwrap_or(Micros::MAX);
             let attempts = vec![0; q.parts.len()];
-            self.places.open(q.class, q.tenant);
+            self.index_table.open_query(q.class, q.tenant);
             let (class, tenant) = (q.class, q.tenant);
-            self.open.insert(q.id, Open { class, tenant, attempt_time_out, attempts, give_up_at });
+            self.open.insert(q.id, OpenQuery { class, tenant, attempt_timeout, attempts, give_up_at });
             self.staged.push(Event::Query(brookbend::api::Query {
                 id: RequestId::Query(q.id),
                 group: q.id,
@@ -369,7 +397,7 @@
                 tenant: TenantIndex(q.tenant),
                 give_up_at: to_ms(give_up_at),
                 patience_ends: to_ms(q.give_up_at),
-                max_attempts: [q.limits.max_attempts, before].into_iter().flatten().min(),
+                max_attempts: [q.limits.max_attempts, previous_max_attempts].into_iter().flatten().min(),
                 again: q.again,
             }));
             self.staged.extend(q.parts.iter().enumerate().map(|(i, p)| {
@@ -388,13 +416,14 @@
         decisions
     }
 
-    /// Ends the turn: wakes the decisions where they asked for it, and fails what is about to run out of time.
+    /// Ends the turn: wakes the decision module if it asked for that, and fails queries that are about to
+    /// reach their deadline.
     pub fn tick(&mut self, now: Micros) -> Decisions {
         let mut decisions = Decisions::default();
-        if self.rest_at.take_if(|at| now >= *at).is_some() {
-            self.settings = self.places.settings(now, &self.settings);
+        if self.retention_check_at.take_if(|at| now >= *at).is_some() {
+            self.settings = self.index_table.settings(now, &self.settings);
             self.aggregator.retune(self.shared_settings(), &[]);
-            self.rest_at = self.places.rest_at(now);
+            self.retention_check_at = self.index_table.next_retention_check(now);
         }
         if self.wake_at.take_if(|at| now >= *at).is_some() {
             self.staged.push(Event::Woken);
@@ -402,9 +431,10 @@
         if !self.staged.is_empty() {
             decisions = self.run(now);
         }
-        // Guards against a module that says nothing: what a broker took gets its answer before its time is up.
-        let last = now + millis(self.settings.tick);
-        while let Some(&(_, query)) = self.ends.first().filter(|(at, _)| *at <= last) {
+        // Guards against a decision module that never ends a query: every open query is answered before its
+        // deadline.
+        let latest = now + millis(self.settings.tick);
+        while let Some(&(_, query)) = self.deadlines.first().filter(|(at, _)| *at <= latest) {
             self.client_gone(query);
             decisions.completions.push(Completion { query, verdict: Verdict::Fail });
             decisions.overdue += 1;
@@ -412,13 +442,14 @@
         decisions
     }
 
-    /// The servers as the decisions see them, but for those that are gone, or of which nobody knows where they listen.
+    /// Returns the health of all servers that are not gone and whose address is known. `address` looks up the
+    /// address of a server.
     pub fn server_statuses(
         &self,
         now: Micros,
         address: impl Fn(&NodeId) -> Option<SocketAddr>,
     ) -> Vec<ServerStatus> {
-        let view = |v: ServerView| {
+        let status = |v: ServerView| {
             Some(ServerStatus {
                 endpoint: address(&v.node)?,
                 name: v.node,
@@ -430,21 +461,21 @@
                 pace: v.pace,
             })
         };
-        self.aggregator.views(to_ms(now)).into_iter().filter_map(view).collect()
+        self.aggregator.views(to_ms(now)).into_iter().filter_map(status).collect()
     }
 
-    /// How many servers the list has, and how many of these the decisions avoid now.
+    /// Returns the number of servers in the list, and how many of them are ejected now.
     pub fn census(&self, now: Micros) -> (u64, u64) {
         let (servers, ejected) = self.aggregator.census(to_ms(now));
         (servers as u64, ejected as u64)
     }
 
-    /// Whether the list names a server, without a look at all of them.
+    /// Returns whether the list has any server, without visiting all of them.
     pub fn has_servers(&self) -> bool {
         self.aggregator.has_servers()
     }
 
-    /// Takes what others saw at the servers. It counts as attempts of the first class.
+    /// Processes counts of attempts that other clients reported. They count as attempts of the first class.
     pub fn report_bulk(&mut self, now: Micros, reports: Vec<ServerStats>) {
         let bulk = |s: ServerStats| Bulk {
             node: s.server,
@@ -457,41 +488,43 @@
         self.aggregator.report_bulk(to_ms(now), ClassIndex(0), &reports);
     }
 
-    /// When [`Core::tick`] is due.
+    /// Returns the time of the next necessary call of [`Core::tick`].
     pub fn next_tick_at(&self) -> Micros {
         let margin = millis(self.settings.tick);
-        let end = self.ends.first().map(|(at, _)| at.saturating_sub(margin));
+        let end = self.deadlines.first().map(|(at, _)| at.saturating_sub(margin));
         let wake = if self.staged.is_empty() { self.wake_at } else { Some(0) };
         [end, wake].into_iter().flatten().min().unwrap_or(Micros::MAX)
     }
 
-    /// Of a class in force: the share of its parts' weight that makes an answer whole, and the least that one may be given
-    /// from. `None`: there is no such class.
+    /// Returns the share of the weight of its parts that makes an answer of this class complete (`need`), and
+    /// the minimum share for a partial answer (`floor`). `None` if there is no such class.
     pub fn need_and_floor(&self, class: usize) -> Option<(f64, f64)> {
         self.settings.classes.get(class).map(|c| (c.need, c.floor))
     }
 
-    /// When a client is to come back whose query is refused before anything was sent for it; `None`: it isn't told.
+    /// Returns the advised retry time for a query of this class that is refused before any part was sent;
+    /// `None` if no time is advised.
     pub fn retry_after_when_full(&self, class: usize) -> Option<Micros> {
         no_room_advice(&self.settings, class).map(millis)
     }
 
-    /// Queries that were refused on arrival since the start, and why.
+    /// Returns the numbers of queries that were refused on arrival since the start, by reason.
     pub fn refusals(&self) -> Refusals {
         self.aggregator.refusals()
     }
 
-    /// Queries and parts in hand.
+    /// Returns the number of units (queries and parts) that this process has open.
     pub fn units_in_use(&self) -> usize {
-        self.held
+        self.units_in_use
     }
 
-    /// The one place where a query is given back. True if it was open.
+    /// Closes a query and releases its units. Returns whether it was open. All closed queries go through this
+    /// function.
     fn close(&mut self, query: QueryId) -> bool {
         let Some(open) = self.open.remove(&query) else { return false };
-        self.held -= 1 + open.attempts.len();
-        self.places.close(open.class, open.tenant);
-        self.ends.remove(&(open.give_up_at, query));
+        self.units_in_use -= 1 + open.attempts.len();
+        self.index_table.close_query(open.class, open.tenant);
+        self.deadlines.remove(&(open.give_up_at, query));
         true
     }
 
@@ -502,13 +535,14 @@
             match action {
                 Action::Send { part, node, within } => {
                     let Some(attempt) = self.next_attempt(&part) else { continue };
-                    let ends = |open: &Open| open.give_up_at.min(now.saturating_add(open.attempt_time_out));
-                    let ends = self.open.get(&attempt.query).map_or(now, ends);
-                    let until = within.map_or(ends, |ms| ends.min(now + millis(ms)));
-                    decisions.dispatches.push(Dispatch { attempt, server: node, deadline: until });
+                    let limit =
+                        |open: &OpenQuery| open.give_up_at.min(now.saturating_add(open.attempt_timeout));
+                    let limit = self.open.get(&attempt.query).map_or(now, limit);
+                    let deadline = within.map_or(limit, |ms| limit.min(now + millis(ms)));
+                    decisions.dispatches.push(Dispatch { attempt, server: node, deadline });
                 }
                 Action::Cancel { part, attempt } => {
-                    if let Some((query, part)) = of_part(&part) {
+                    if let Some((query, part)) = query_and_part(&part) {
                         decisions.cancel.push(AttemptId { query, part, attempt });
                     }
                 }
@@ -521,7 +555,7 @@
                 }
                 Action::Fail { query } => self.finish(&mut decisions, &query, Verdict::Fail),
                 Action::Wake { after } => self.wake_at = Some(now + millis(after)),
-                // Brokers share only the network, and the list is always watched.
+                // Nothing to do: a broker always watches the list, and brokers share nothing but the network.
                 Action::Watch => {}
             }
         }
@@ -536,16 +570,17 @@
         }
     }
 
-    /// The attempt that the module starts with a send for this part.
+    /// Returns the id of the attempt that the decision module starts when it sends this part.
     fn next_attempt(&mut self, part: &RequestId) -> Option<AttemptId> {
-        let (query, part) = of_part(part)?;
+        let (query, part) = query_and_part(part)?;
         let attempts = self.open.get_mut(&query)?.attempts.get_mut(part)?;
         *attempts += 1;
         Some(AttemptId { query, part, attempt: *attempts - 1 })
     }
 }
 
-/// The module's milliseconds: the one place where time leaves whole microseconds.
+/// Converts microseconds to the milliseconds of the decision module. No other function converts times to
+/// milliseconds.
 fn to_ms(time: Micros) -> f64 {
     time as f64 / MILLI as f64
 }
@@ -554,7 +589,7 @@
     RequestId::Part(query, u32::try_from(part).unwrap_or(u32::MAX))
 }
 
-fn of_part(id: &RequestId) -> Option<(QueryId, usize)> {
+fn query_and_part(id: &RequestId) -> Option<(QueryId, usize)> {
     match id {
         RequestId::Part(query, part) => Some((*query, *part as usize)),
         RequestId::Query(_) | RequestId::Named(_) => None,
@@ -595,24 +630,25 @@
     }
 
     #[test]
-    fn a_query_goes_out_is_tried_again_and_ends_once() {
+    fn a_full_server_is_retried_and_the_query_ends_once() {
         let mut core = core(10);
         let first = core.pick(1000, vec![query(1, &[0, 1])]).dispatches;
         assert_eq!(first.iter().map(|d| d.attempt.part).collect::<Vec<_>>(), [0, 1]);
         assert!(first.iter().all(|d| d.attempt.attempt == 0 && d.deadline <= 1_000_000));
         let attempts = first.iter().map(|d| d.attempt);
         let outcomes = [Outcome::Served, Outcome::Full];
-        let again = core.report(30_000, attempts.zip(outcomes).map(|(a, o)| ended(a, o)).collect());
-        assert_eq!(again.completions, []);
-        assert_eq!(again.dispatches[0].attempt, AttemptId { query: 1, part: 1, attempt: 1 });
-        let last = core.report(60_000, vec![ended(again.dispatches[0].attempt, Outcome::Served)]);
+        let retried = core.report(30_000, attempts.zip(outcomes).map(|(a, o)| ended(a, o)).collect());
+        assert_eq!(retried.completions, []);
+        assert_eq!(retried.dispatches[0].attempt, AttemptId { query: 1, part: 1, attempt: 1 });
+        let last = core.report(60_000, vec![ended(retried.dispatches[0].attempt, Outcome::Served)]);
         assert_eq!(last.completions, [Completion { query: 1, verdict: Verdict::Answer { whole: true } }]);
         assert_eq!((core.units_in_use(), core.tick(2_000_000).completions), (0, vec![]));
     }
 
-    /// Beyond MaxOpen the simulator never hands a query over, so that the module does not expect one.
+    /// Guards against queries beyond MaxOpen that reach the decision module: the simulator never passes any
+    /// on, so the module does not expect them.
     #[test]
-    fn what_finds_no_room_is_refused_with_advice_and_room_comes_back() {
+    fn queries_beyond_max_open_are_refused_and_closed_queries_release_units() {
         let mut core = core(3);
         let both = core.pick(1000, vec![query(1, &[0, 1]), query(2, &[2])]);
         assert!(matches!(
@@ -627,9 +663,9 @@
         assert_eq!((next.cancel.len(), next.dispatches.len(), core.units_in_use()), (2, 1, 2));
     }
 
-    /// Whatever the module does, a query is not left to run out of time.
+    /// Guards against a query that is never answered when the decision module has lost it.
     #[test]
-    fn a_query_that_the_module_forgets_is_failed_in_time() {
+    fn a_query_that_the_module_has_lost_fails_before_its_deadline() {
         let mut core = core(10);
         core.pick(1000, vec![query(1, &[0])]);
         core.aggregator = Aggregator::new(core.settings.clone(), 7);
@@ -640,7 +676,7 @@
     }
 
     #[test]
-    fn a_drained_server_is_sent_nothing_from_the_same_turn_on() {
+    fn a_drained_server_gets_no_attempts_from_the_same_turn_on() {
         let mut core = core(100);
         let name = core.pick(1000, vec![query(1, &[0])]).dispatches[0].server.clone();
         let state = NodeState::Draining;
@@ -654,10 +690,10 @@
         }
     }
 
-    /// What is set for a query by its operator: it ends in its own time, its attempts in theirs, and no part gets more of
-    /// them; another query beside it keeps what the platform gives.
+    /// The timeouts and the maximum of attempts that an operator sets apply to the query, and not to another
+    /// query beside it.
     #[test]
-    fn a_query_keeps_to_the_limits_that_are_set_for_it() {
+    fn limits_of_a_query_apply_to_that_query_alone() {
         let mut core = core(10);
         let limits = QueryLimits {
             timeout: Some(300_000),
@@ -667,8 +703,8 @@
         };
         let limited = Query { limits: Arc::new(limits), ..query(1, &[0]) };
         let sent = core.pick(1000, vec![limited, query(2, &[1])]).dispatches;
-        let until = |id: QueryId| sent.iter().find(|d| d.attempt.query == id).unwrap().deadline;
-        assert!(until(1) == 51_000 && until(2) > 51_000, "{sent:?}");
+        let deadline = |id: QueryId| sent.iter().find(|d| d.attempt.query == id).unwrap().deadline;
+        assert!(deadline(1) == 51_000 && deadline(2) > 51_000, "{sent:?}");
         let mut attempts = 1;
         let mut now = 1000;
         let mut ended = false;
@@ -691,12 +727,12 @@
             ended = all.iter().flat_map(|d| &d.completions).any(|f| f.query == 1);
         }
         assert!(ended && attempts <= 2 && now <= 301_000, "{attempts} attempts, {now}");
-        assert!(core.next_tick_at() > now, "the other one is in hand still");
+        assert!(core.next_tick_at() > now, "the other query is still open");
     }
 
-    /// A query that hears nothing ends at the time-out that is set for it, long before its client gives up.
+    /// A query without any answer ends at the configured timeout, long before its client stops waiting.
     #[test]
-    fn a_time_out_ends_a_query_before_its_client_does() {
+    fn a_timeout_ends_a_query_before_its_client_stops_waiting() {
         let mut core = core(10);
         let limits = QueryLimits { timeout: Some(300_000), ..QueryLimits::default() };
         core.pick(1000, vec![Query { limits: Arc::new(limits), ..query(1, &[0]) }]);
@@ -704,7 +740,7 @@
         let mut ended = false;
         while !ended {
             now = core.next_tick_at().max(now + 1000);
-            assert!(now <= 301_000, "it is in hand still");
+            assert!(now <= 301_000, "the query is still open");
             ended = core.tick(now).completions.iter().any(|f| f.query == 1);
         }
     }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,9 @@
-//! Plain data types that the packages of the broker share. Nothing here does I/O, reads a clock or makes decisions.
+//! Plain data types that the packages of the broker share. Nothing here does I/O, reads a clock or makes
+//! decisions.
 //!
-//! [`time`] defines times in whole microseconds; [`query`] a client's request and its final answer; [`server`] the list
-//! of data servers, as discovery sends it and as the decision module uses it; [`limits`] the limits of connections to
-//! data servers.
+//! [`time`] defines times in whole microseconds; [`query`] a client's request and its final answer;
+//! [`server`] the list of data servers, as discovery sends it and as the decision module uses it; [`limits`]
+//! the limits of connections to data servers.
 
 pub use brookbend::recall;
 
--- a/crates/model/src/query.rs
+++ b/crates/model/src/query.rs
@@ -128,7 +128,8 @@
     all.find(|(i, n)| n.as_bytes() == name && !removed.contains(i)).map(|(i, _)| i)
 }
 
-/// Name of the section in the operator's file that sets a limit. All queries with a limit from the same section share it.
+/// Name of the section in the operator's file that sets a limit. All queries with a limit from the same
+/// section share it.
 pub type LimitScope = Arc<str>;
 
 /// Rate limit of each tenant: a sustained rate, and the burst that is allowed after an idle time.
@@ -140,8 +141,8 @@
     pub burst: u32,
 }
 
-/// Limits that the operator configured for a query. `None` leaves the setting of the platform in force. A query keeps
-/// the limits that it started with.
+/// Limits that the operator configured for a query. `None` leaves the setting of the platform in force. A
+/// query keeps the limits that it started with.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QueryLimits {
     /// Maximum time in microseconds until the query is answered.
--- a/crates/model/src/server.rs
+++ b/crates/model/src/server.rs
@@ -17,8 +17,8 @@
     pub state: NodeState,
     /// Index of the zone of the server; `None` if the zone is unknown.
     pub zone: Option<usize>,
-    /// Time at which the process of the server last started, on the program's clock in microseconds. It is negative if
-    /// that was before the origin of the clock, and `None` if it was long ago.
+    /// Time at which the process of the server last started, on the program's clock in microseconds. It is
+    /// negative if that was before the origin of the clock, and `None` if it was long ago.
     pub started_at: Option<i64>,
 }
 
@@ -103,8 +103,8 @@
         if self.all { ListScope::Complete } else { ListScope::Changes }
     }
 
-    /// Converts the entries for the decision module. `clock_from_unix_ms` converts a Unix time in milliseconds to the
-    /// program's clock in microseconds.
+    /// Converts the entries for the decision module. `clock_from_unix_ms` converts a Unix time in
+    /// milliseconds to the program's clock in microseconds.
     pub fn servers(&self, zones: &[String], clock_from_unix_ms: impl Fn(i64) -> i64) -> Vec<ServerInfo> {
         let server = |t: &Target| ServerInfo {
             name: NodeId(t.uid.as_str().into()),
--- a/crates/pacing/src/lib.rs
+++ b/crates/pacing/src/lib.rs
@@ -1,20 +1,20 @@
 //! Computes when the next turn of the event loop begins.
 //!
-//! Parts for one server that are sent in the same turn share a call, and each call costs the server extra work. A busy
-//! broker therefore waits for a while before it decides, so that more parts share a call. An idle broker gains nothing by
-//! waiting: there is no other query to share a call with, and its only client would wait. The interval between turns
-//! therefore depends on the number of open queries: with one query the next turn begins at once, and the interval grows
-//! with each further query up to a maximum.
+//! Parts for one server that are sent in the same turn share a call, and each call costs the server extra
+//! work. A busy broker therefore waits for a while before it decides, so that more parts share a call. An
+//! idle broker gains nothing by waiting: there is no other query to share a call with, and its only client
+//! would wait. The interval between turns therefore depends on the number of open queries: with one query the
+//! next turn begins at once, and the interval grows with each further query up to a maximum.
 //!
-//! It also depends on whether attempts are still in flight to data servers. Once all of them have ended, the open
-//! queries wait only for the next turn, so that turn begins at once. Nagle's algorithm (RFC 896) works the same way: it
-//! holds small segments back only while earlier data is unacknowledged. While servers are slow, attempts are always in
-//! flight and the full interval applies. While servers are fast, sharing calls would only save them work that delays
-//! nobody.
+//! It also depends on whether attempts are still in flight to data servers. Once all of them have ended, the
+//! open queries wait only for the next turn, so that turn begins at once. Nagle's algorithm (RFC 896) works
+//! the same way: it holds small segments back only while earlier data is unacknowledged. While servers are
+//! slow, attempts are always in flight and the full interval applies. While servers are fast, sharing calls
+//! would only save them work that delays nobody.
 //!
-//! The interval does not depend on the rate of arrivals. A client that sends one query after another raises that rate as
-//! soon as its queries are served at once; the wait that follows would lower the rate again, so the interval would
-//! oscillate.
+//! The interval does not depend on the rate of arrivals. A client that sends one query after another raises
+//! that rate as soon as its queries are served at once; the wait that follows would lower the rate again, so
+//! the interval would oscillate.
 
 use plover_model::time::Micros;
 
@@ -26,14 +26,14 @@
 pub enum Pacing {
     /// A fixed interval in microseconds, whatever the load.
     Fixed(Micros),
-    /// An interval that depends on the load, with its maximum in microseconds. It is 0 with at most one open query or
-    /// with no attempt in flight.
+    /// An interval that depends on the load, with its maximum in microseconds. It is 0 with at most one open
+    /// query or with no attempt in flight.
     Gather(Micros),
 }
 
 impl Pacing {
-    /// Returns the minimum time in microseconds between the beginnings of two turns. `open_queries` includes the queries
-    /// that wait to be admitted.
+    /// Returns the minimum time in microseconds between the beginnings of two turns. `open_queries` includes
+    /// the queries that wait to be admitted.
     pub fn interval(self, open_queries: usize) -> Micros {
         match self {
             Pacing::Fixed(interval) => interval,
@@ -71,8 +71,8 @@
         assert_eq!([0, 1, 100].map(|n| Pacing::Fixed(5000).interval(n)), [5000; 3]);
     }
 
-    /// Guards against an interval that depends on the rate of arrivals: a client that sends one query after another has
-    /// only one open at a time, but with such a rule its second query would wait.
+    /// Guards against an interval that depends on the rate of arrivals: a client that sends one query after
+    /// another has only one open at a time, but with such a rule its second query would wait.
     #[test]
     fn sequential_queries_of_one_client_never_wait() {
         let pacing = Pacing::Gather(5000);
--- a/crates/query/src/decode.rs
+++ b/crates/query/src/decode.rs
@@ -8,12 +8,13 @@
 use serde::Deserialize;
 use std::rc::Rc;
 
-/// Maximum length in bytes of a request id or an idempotency key. Both are sent in every frame to data servers.
+/// Maximum length in bytes of a request id or an idempotency key. Both are sent in every frame to data
+/// servers.
 const MAX_TOKEN_LENGTH: usize = 256;
 /// Maximum deadline that a client may request, and maximum work that it may estimate for a part.
 const MAX_DURATION: Micros = 3_600_000_000;
-/// Maximum difference between the sum of all weights and 1, since clients send rounded weights. It holds for up to 100
-/// parts.
+/// Maximum difference between the sum of all weights and 1, since clients send rounded weights. It holds for
+/// up to 100 parts.
 const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
 /// Maximum difference per part in queries of more than 100 parts.
 const WEIGHT_TOLERANCE: f64 = WEIGHT_SUM_TOLERANCE / 100.0;
@@ -35,7 +36,8 @@
     Err(Reply::Bad { status, why: why.into() })
 }
 
-/// Decodes a query from a request. The class is the first segment of the path. The error is the answer to the client.
+/// Decodes a query from a request. The class is the first segment of the path. The error is the answer to the
+/// client.
 pub fn decode(
     request: &Request<Vec<u8>>,
     names: &Names,
@@ -121,8 +123,8 @@
         let work_hint = r.price.map(|p| p as Micros).filter(|p| *p > 0);
         parts.push(PartSpec { shard: r.range, weight: r.portion, work_hint });
     }
-    // The weights decide whether an answer is complete and whether a partial answer is allowed. If they do not add up to
-    // 1, no answer would be correct.
+    // The weights decide whether an answer is complete and whether a partial answer is allowed. If they do
+    // not add up to 1, no answer would be correct.
     if (parts.iter().map(|p| p.weight).sum::<f64>() - 1.0).abs()
         > WEIGHT_SUM_TOLERANCE.max(parts.len() as f64 * WEIGHT_TOLERANCE)
     {
@@ -131,8 +133,8 @@
     Ok(parts)
 }
 
-/// Reads a header whose value is copied into frames, where a space, a comma or a line break would start another field.
-/// `None` if the header is missing.
+/// Reads a header whose value is copied into frames, where a space, a comma or a line break would start
+/// another field. `None` if the header is missing.
 fn token(headers: &HeaderMap, name: &str) -> Result<Option<Rc<str>>, Reply> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
@@ -145,7 +147,8 @@
     }
 }
 
-/// Returns whether RFC 9110 (section 9) or RFC 5789 defines the method. Other methods are answered as not implemented.
+/// Returns whether RFC 9110 (section 9) or RFC 5789 defines the method. Other methods are answered as not
+/// implemented.
 pub(crate) fn is_standard(method: &Method) -> bool {
     [
         Method::GET,
--- a/crates/query/src/lib.rs
+++ b/crates/query/src/lib.rs
@@ -1,6 +1,7 @@
-//! HTTP semantics of the broker, independent of the HTTP version (RFC 9110): the kinds of requests, the decoding of a
-//! query from a request, and the encoding of its final answer as a response. The framing of messages on a connection is
-//! implemented elsewhere. Every front decodes requests with [`route`] and encodes the responses that it gets.
+//! HTTP semantics of the broker, independent of the HTTP version (RFC 9110): the kinds of requests, the
+//! decoding of a query from a request, and the encoding of its final answer as a response. The framing of
+//! messages on a connection is implemented elsewhere. Every front decodes requests with [`route`] and encodes
+//! the responses that it gets.
 
 mod decode;
 mod request_config;
@@ -16,8 +17,8 @@
 
 /// Maximum length of the body of a request in bytes.
 pub const MAX_BODY_LENGTH: usize = 64 * 1024;
-/// Maximum length of the head of a request in bytes: as encoded in HTTP/1.1, or counted as a header list (RFC 9113,
-/// section 6.5.2).
+/// Maximum length of the head of a request in bytes: as encoded in HTTP/1.1, or counted as a header list (RFC
+/// 9113, section 6.5.2).
 pub const MAX_HEAD_LENGTH: usize = 16 * 1024;
 /// Path of the readiness check, which reports whether the broker accepts queries.
 const READY_PATH: &str = "/-/ready";
--- a/crates/query/src/request_config.rs
+++ b/crates/query/src/request_config.rs
@@ -1,10 +1,10 @@
 //! The configuration that requests are decoded with, and its history while clients switch to a new one.
 //!
-//! Clients are notified of new settings when the broker is, but apply them some time later. Until then, requests are
-//! decoded with the previous configuration. Around the time of the switch, when it is unknown which configuration a client
-//! used, the stricter of both applies; after that, the new one. A request that cannot be decoded with the configuration
-//! chosen in this way is decoded with the other one, since it may name a class that was just added, or one that was
-//! removed or changed.
+//! Clients are notified of new settings when the broker is, but apply them some time later. Until then,
+//! requests are decoded with the previous configuration. Around the time of the switch, when it is unknown
+//! which configuration a client used, the stricter of both applies; after that, the new one. A request that
+//! cannot be decoded with the configuration chosen in this way is decoded with the other one, since it may
+//! name a class that was just added, or one that was removed or changed.
 
 use crate::decode;
 use brookbend::api::{Semantics, Settings};
@@ -18,8 +18,8 @@
 
 /// Time from the announcement of new settings until clients apply them, as the platform defines it.
 pub const SETTINGS_EFFECTIVE_AFTER: Micros = 1_200 * MILLI;
-/// Time before and after the switch in which a request may be based on either configuration: the broker may be notified
-/// later than the clients, and requests take time to arrive.
+/// Time before and after the switch in which a request may be based on either configuration: the broker may
+/// be notified later than the clients, and requests take time to arrive.
 const SWITCH_UNCERTAINTY: Micros = 300 * MILLI;
 /// Time from the announcement of new settings until no client uses the previous ones any more.
 const PREVIOUS_CONFIG_LIFETIME: Micros = 2_000 * MILLI;
@@ -28,8 +28,8 @@
 /// milliseconds for which repeats are dropped. A shorter time is stricter.
 type Strictness = (u8, Reverse<u64>);
 
-/// The configuration that requests are decoded with. A class or tenant has the same index in all configurations of a
-/// process.
+/// The configuration that requests are decoded with. A class or tenant has the same index in all
+/// configurations of a process.
 #[derive(Clone, Debug, Default)]
 pub struct RequestConfig {
     /// Names of classes and tenants that requests may use.
@@ -66,8 +66,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct RequestConfigHistory {
     current: RequestConfig,
-    /// Previous configurations, oldest first, each with the time at which its successor was announced. A second change
-    /// shortly after a first one must not discard the oldest configuration, since clients have applied neither change yet.
+    /// Previous configurations, oldest first, each with the time at which its successor was announced. A
+    /// second change shortly after a first one must not discard the oldest configuration, since clients have
+    /// applied neither change yet.
     previous: VecDeque<(Micros, RequestConfig)>,
 }
 
@@ -87,8 +88,8 @@
         {
             self.previous.pop_front();
         }
-        // When too many changes come at once, the dropped configurations were in force only for a moment, so no client
-        // has used them.
+        // When too many changes come at once, the dropped configurations were in force only for a moment, so
+        // no client has used them.
         if self.previous.len() < MAX_PREVIOUS {
             self.previous.push_back((at, replaced));
         }
@@ -101,9 +102,9 @@
         &self.current
     }
 
-    /// Decodes a request that was received at time `at` with the configuration in force at that time. Around a switch the
-    /// strictest of the possible configurations applies. If none of them can decode the request, the one that is closest
-    /// in time and can decode it applies.
+    /// Decodes a request that was received at time `at` with the configuration in force at that time. Around
+    /// a switch the strictest of the possible configurations applies. If none of them can decode the request,
+    /// the one that is closest in time and can decode it applies.
     pub fn decode(&self, at: Micros, request: &Request<Vec<u8>>) -> Result<QueryRequest, Reply> {
         let current = self.current.decode(request);
         let recent = self
@@ -118,7 +119,8 @@
                 let early = (from + 1).saturating_sub(SWITCH_UNCERTAINTY).saturating_sub(at);
                 let late = (at + 1).saturating_sub(until.saturating_add(SWITCH_UNCERTAINTY));
                 let rank = (early.max(late), Reverse(config.strictness(&query)));
-                // Of two equal ranks the older configuration applies, since its index is the one that clients used.
+                // Of two equal ranks the older configuration applies, since its index is the one that clients
+                // used.
                 if best.as_ref().is_none_or(|(_, best_rank)| rank < *best_rank) {
                     best = Some((query, rank));
                 }
--- a/crates/query/src/request_config/tests.rs
+++ b/crates/query/src/request_config/tests.rs
@@ -90,8 +90,8 @@
     assert!(history.decode(PREVIOUS_CONFIG_LIFETIME, &request("lookup", false)).is_err());
 }
 
-/// Guards against a second announcement shortly after the first, of the same settings or of ones that revert a change,
-/// that ends the lifetime of the oldest configuration early.
+/// Guards against a second announcement shortly after the first, of the same settings or of ones that revert
+/// a change, that ends the lifetime of the oldest configuration early.
 #[test]
 fn a_second_change_does_not_shorten_the_lifetime_of_the_oldest_configuration() {
     let mut history = RequestConfigHistory::new(config());
@@ -109,8 +109,8 @@
     assert!(history.previous.len() <= MAX_PREVIOUS);
 }
 
-/// With two changes of the semantics, each configuration applies from its own switch on, and the strictest one around each
-/// switch.
+/// With two changes of the semantics, each configuration applies from its own switch on, and the strictest
+/// one around each switch.
 #[test]
 fn two_changes_have_separate_switches() {
     let mut history = RequestConfigHistory::new(config());
@@ -142,7 +142,8 @@
     assert_eq!(class(2 * SETTINGS_EFFECTIVE_AFTER + SWITCH_UNCERTAINTY), 4);
 }
 
-/// Clients send rounded portions, so the sum over a wide query may differ from 1 by more than that over a narrow one.
+/// Clients send rounded portions, so the sum over a wide query may differ from 1 by more than that over a
+/// narrow one.
 #[test]
 fn tolerance_of_the_portion_sum_grows_with_the_number_of_parts() {
     let mut wide = config();
@@ -154,7 +155,8 @@
         let request = request("lookup", false).map(|_| body.into_bytes());
         wide.decode(&request).map(|query| query.parts.len()).is_ok()
     };
-    // 1/690 and 1/50 rounded to four decimal places, and portions that are further off than rounding explains.
+    // 1/690 and 1/50 rounded to four decimal places, and portions that are further off than rounding
+    // explains.
     assert!(is_accepted(690, "0.0014") && is_accepted(690, "0.0015"));
     assert!(is_accepted(50, "0.02") && is_accepted(50, "0.0201") && !is_accepted(50, "0.0203"));
     assert!(!is_accepted(690, "0.0013") && !is_accepted(690, "0.0016"));
--- a/crates/query/src/response.rs
+++ b/crates/query/src/response.rs
@@ -8,8 +8,8 @@
 use serde::Serialize;
 use std::time::SystemTime;
 
-/// Advised retry time for clients that got no connection slot. By then idle connections and incomplete requests have
-/// timed out.
+/// Advised retry time for clients that got no connection slot. By then idle connections and incomplete
+/// requests have timed out.
 const NO_SLOT_RETRY_AFTER: Micros = 2_000_000;
 
 /// An HTTP response with its complete body.
@@ -38,8 +38,8 @@
     response
 }
 
-/// Builds an error response. `allow` lists the allowed methods for the `Allow` header; if it is empty, the header is
-/// left out.
+/// Builds an error response. `allow` lists the allowed methods for the `Allow` header; if it is empty, the
+/// header is left out.
 pub(crate) fn error(status: u16, allow: &'static str, why: &str) -> Response {
     let body = if why.is_empty() { Vec::new() } else { format!("{why}\n").into_bytes() };
     let mut response = response(status, body);
@@ -49,8 +49,8 @@
     response
 }
 
-/// Builds a plain-text response. `allow` lists the allowed methods for the `Allow` header; if it is empty, the header
-/// is left out.
+/// Builds a plain-text response. `allow` lists the allowed methods for the `Allow` header; if it is empty,
+/// the header is left out.
 pub fn plain_text(status: u16, allow: &'static str, text: &str) -> Response {
     let mut response = error(status, allow, text.trim_end());
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
