--- a/crates/core/examples/part_cost.rs
+++ b/crates/core/examples/part_cost.rs
@@ -1,5 +1,6 @@
-//! What the decisions cost for a part, in microseconds of this thread: queries come at an even pace, each of their parts is
-//! answered within 5 to 15 ms, and there is a turn in each millisecond. The same parts a second at each width.
+//! Measures the cost of the decisions per part, in microseconds of this thread. Queries arrive at an even
+//! rate, each part is answered within 5 to 15 ms, and there is one turn per millisecond. The number of parts
+//! per second is the same for all numbers of parts per query.
 //!
 //! ```text
 //! cargo run --release -p plover-core --example part_cost
@@ -16,9 +17,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const PARTS_A_SECOND: usize = 60_000;
+const PARTS_PER_SECOND: usize = 60_000;
 const WARM_UP: Micros = SECOND / 2;
-const LENGTH: Micros = 2 * SECOND;
+const DURATION: Micros = 2 * SECOND;
 const REPLICAS: usize = 3;
 
 fn settings(servers: usize) -> Settings {
@@ -29,7 +30,7 @@
     settings
 }
 
-/// Microseconds a part, and parts that were answered.
+/// Returns the time per part in microseconds, and the number of answered parts.
 fn cost(servers: usize, parts: usize) -> (f64, usize) {
     let settings = settings(servers);
     let cells = settings.cells;
@@ -42,23 +43,23 @@
         started_at: None,
     };
     core.update_servers(ListScope::Complete, (0..servers).map(server).collect());
-    let every = (parts as u64 * SECOND) / PARTS_A_SECOND as u64;
-    let mut out: BTreeMap<Micros, Vec<(AttemptId, Micros)>> = BTreeMap::new();
-    let (mut next, mut id, mut answered, mut chance) = (0, 0u64, 0, 1u64);
+    let query_interval = (parts as u64 * SECOND) / PARTS_PER_SECOND as u64;
+    let mut in_flight: BTreeMap<Micros, Vec<(AttemptId, Micros)>> = BTreeMap::new();
+    let (mut next_arrival, mut id, mut answered, mut random_state) = (0, 0u64, 0, 1u64);
     let mut spent = Duration::ZERO;
     let mut random = move |n: u64| {
-        chance = chance.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-        (chance >> 33) % n
+        random_state = random_state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        (random_state >> 33) % n
     };
     let mut now = 0;
-    while now < WARM_UP + LENGTH {
+    while now < WARM_UP + DURATION {
         let mut queries = Vec::new();
-        while next <= now {
+        while next_arrival <= now {
             id += 1;
-            next += every;
-            let first = random(cells as u64) as usize;
+            next_arrival += query_interval;
+            let first_shard = random(cells as u64) as usize;
             let part = |i: usize| PartSpec {
-                shard: (first + i) % cells,
+                shard: (first_shard + i) % cells,
                 weight: 1.0 / parts as f64,
                 work_hint: None,
             };
@@ -72,7 +73,7 @@
                 parts: (0..parts).map(part).collect(),
             });
         }
-        let ended = out.remove(&now).unwrap_or_default();
+        let ended = in_flight.remove(&now).unwrap_or_default();
         let count = ended.len();
         let report = |(attempt, sent): (AttemptId, Micros)| Report {
             attempt,
@@ -82,15 +83,15 @@
             connected_at: None,
         };
         let reports = ended.into_iter().map(report).collect();
-        let begin = Instant::now();
-        let decided = [core.report(now, reports), core.pick(now, queries), core.tick(now)];
+        let started = Instant::now();
+        let decisions = [core.report(now, reports), core.pick(now, queries), core.tick(now)];
         if now >= WARM_UP {
-            spent += begin.elapsed();
+            spent += started.elapsed();
             answered += count;
         }
-        for dispatch in decided.iter().flat_map(|d| &d.dispatches) {
+        for dispatch in decisions.iter().flat_map(|d| &d.dispatches) {
             let at = now + (5 + random(11)) * MILLI;
-            out.entry(at).or_default().push((dispatch.attempt, now));
+            in_flight.entry(at).or_default().push((dispatch.attempt, now));
         }
         now += MILLI;
     }
@@ -100,11 +101,11 @@
 fn main() {
     println!("servers  parts  us a part  against 50  parts answered");
     for servers in [1600, 7800] {
-        let mut least = f64::NAN;
+        let mut baseline = f64::NAN;
         for parts in [50, 200, 690] {
             let (us, answered) = cost(servers, parts);
-            least = if parts == 50 { us } else { least };
-            println!("{servers:7}  {parts:5}  {us:9.3}  {:10.2}  {answered:14}", us / least);
+            baseline = if parts == 50 { us } else { baseline };
+            println!("{servers:7}  {parts:5}  {us:9.3}  {:10.2}  {answered:14}", us / baseline);
         }
     }
 }
--- a/crates/core/src/index_table/tests.rs
+++ b/crates/core/src/index_table/tests.rs
@@ -72,7 +72,8 @@
 }
 
 proptest! {
-    /// The settings of the class of an open query never change, whatever changes of the settings and queries come.
+    /// The settings of the class of an open query never change, whatever changes of the settings and queries
+    /// come.
     #[test]
     fn settings_of_the_class_of_an_open_query_never_change(steps in prop::collection::vec((0u8..3, 0usize..3, 0u64..20), 1..80)) {
         let (mut settings, names) = settings();
--- a/crates/core/tests/ending.rs
+++ b/crates/core/tests/ending.rs
@@ -1,4 +1,4 @@
-//! A program that is to end: by when queries are over, and how long that may take.
+//! End of a process: the time by which queries are finished, and the longest time that may take.
 
 use plover_config::{Config, check};
 use plover_core::{Core, Query, Verdict};
@@ -10,17 +10,18 @@
 
 const TICK: Micros = 5 * MILLI;
 
-/// With these times for which the clients of its classes wait, in milliseconds.
-fn config(waits: &[f64]) -> Config {
+/// Returns a configuration with one class per timeout. The timeouts are the times that clients wait, in
+/// milliseconds.
+fn config(timeouts: &[f64]) -> Config {
     let mut settings: Value = serde_json::from_str(include_str!("../../model/tests/settings.json")).unwrap();
     let services = settings["Services"].as_array_mut().unwrap();
-    services.truncate(waits.len());
-    for (service, wait) in services.iter_mut().zip(waits) {
-        service["GiveUp"] = json!(wait);
-        service["Aim"] = json!(wait);
+    services.truncate(timeouts.len());
+    for (service, timeout) in services.iter_mut().zip(timeouts) {
+        service["GiveUp"] = json!(timeout);
+        service["Aim"] = json!(timeout);
     }
-    for of_classes in ["ClassNeed", "FetchParts", "MinShare", "PartialEarns"] {
-        settings["FamilyInfo"][of_classes].as_array_mut().unwrap().truncate(waits.len());
+    for key in ["ClassNeed", "FetchParts", "MinShare", "PartialEarns"] {
+        settings["FamilyInfo"][key].as_array_mut().unwrap().truncate(timeouts.len());
     }
     let value = json!({"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "7",
         "settings": settings, "known": {"rev": 1, "all": true, "targets": []}});
@@ -40,39 +41,44 @@
     core
 }
 
-/// Queries in hand are over by the time that the program names, as those that come later are: the platform may end it then.
+/// Guards against open queries that outlast the time set by `finish_by`, after which the platform may end the
+/// process.
 #[test]
-fn queries_in_hand_are_over_by_the_end_too() {
+fn open_queries_are_finished_by_the_set_time() {
     let mut core = core(&config(&[60_000.0; 3]));
     let part = PartSpec { shard: 0, weight: 1.0, work_hint: None };
     let query = |id, give_up_at| {
         let parts = vec![part.clone()];
         Query { id, class: 0, tenant: 0, give_up_at, limits: Arc::default(), again: false, parts }
     };
-    // The second is over before.
+    // The second query ends before the set time because of its own deadline.
     assert_eq!(core.pick(MILLI, vec![query(1, 60 * SECOND), query(2, SECOND)]).dispatches.len(), 2);
     let end = 3 * SECOND;
     core.finish_by(end);
     let mut now = MILLI;
-    let mut finals = Vec::new();
+    let mut completions = Vec::new();
     while core.units_in_use() > 0 {
         now = core.next_tick_at().max(now + TICK);
-        assert!(now <= end, "{finals:?}");
+        assert!(now <= end, "{completions:?}");
         let decisions = core.tick(now);
-        finals.extend(decisions.completions.into_iter().map(|f| (f.query, now, f.verdict)));
-        assert_eq!(decisions.overdue, 0, "the decisions know of it");
+        completions.extend(decisions.completions.into_iter().map(|c| (c.query, now, c.verdict)));
+        assert_eq!(decisions.overdue, 0, "the decision module ends the queries itself");
     }
-    assert!(matches!(finals[..], [(2, _, _), (1, _, Verdict::Refuse { .. } | Verdict::Fail)]), "{finals:?}");
-    assert!(finals[0].1 <= SECOND && finals[1].1 > 2 * SECOND);
+    assert!(
+        matches!(completions[..], [(2, _, _), (1, _, Verdict::Refuse { .. } | Verdict::Fail)]),
+        "{completions:?}"
+    );
+    assert!(completions[0].1 <= SECOND && completions[1].1 > 2 * SECOND);
 }
 
-/// What a class that has left would wait for counts no more: the platform goes by those in force.
+/// Guards against a maximum client timeout that still counts a removed class. The platform uses that of
+/// current classes.
 #[test]
-fn the_longest_wait_is_that_of_a_class_in_force() {
+fn max_client_timeout_ignores_removed_classes() {
     let mut core = core(&config(&[1000.0, 1500.0, 60_000.0]));
     assert_eq!(core.max_client_timeout(0), 60 * SECOND);
-    let other = config(&[1000.0, 1500.0]);
-    let placed = core.index_settings(SECOND, &other.settings, &other.names).unwrap();
-    core.retune(&placed, 10, SECOND);
+    let new = config(&[1000.0, 1500.0]);
+    let indexed = core.index_settings(SECOND, &new.settings, &new.names).unwrap();
+    core.retune(&indexed, 10, SECOND);
     assert_eq!(core.max_client_timeout(2 * SECOND), 1500 * MILLI);
 }
--- a/crates/core/tests/fleet_lists.rs
+++ b/crates/core/tests/fleet_lists.rs
@@ -1,6 +1,7 @@
-//! What news of a list of up to 7,800 servers costs a broker, counted and not timed: bytes of text, allocations on the way
-//! from the text to the decisions, and what is held of it. Twice the size costs at most so many times the count, so that a
-//! part of the work that becomes quadratic shows. `cargo test -p plover-core --test fleet_lists -- --nocapture` prints the table.
+//! Cost of updates of a list of up to 7,800 servers in a broker, counted instead of timed: length of the text
+//! in bytes, allocations from decoding to the decision module, and memory in use afterwards. The cost of a
+//! list of twice the length is bounded, so that work that becomes quadratic is found. `cargo test -p
+//! plover-core --test fleet_lists -- --nocapture` prints a table.
 
 use allocation_counter::{AllocationInfo, measure};
 use brookbend::api::Settings;
@@ -12,26 +13,27 @@
 use std::fmt::Write;
 
 const SERVERS: usize = 7800;
-/// Servers of a cell.
-const HOLDERS: usize = 3;
-/// Of the servers, so many are changed at once: one, some, a rack and more, a zone.
-const CHANGES: [usize; 4] = [1, 10, 100, 410];
-/// A doubling may cost so many times as much: twice, and the roundings of what holds it.
-const TWICE: f64 = 2.25;
+/// Number of servers in a cell.
+const SERVERS_PER_CELL: usize = 3;
+/// Numbers of servers that change at once: one, some, more than a rack, a zone.
+const CHANGED_SERVERS: [usize; 4] = [1, 10, 100, 410];
+/// Maximum factor of the cost when the length of the list doubles: 2, with a margin for rounded capacities.
+const MAX_DOUBLING_FACTOR: f64 = 2.25;
 
 fn settings(servers: usize) -> Settings {
     let text: serde_json::Value =
         serde_json::from_str(include_str!("../../model/tests/settings.json")).unwrap();
     let site = decode(&Message::new("settings", text.as_object().unwrap())).unwrap();
-    let cells = servers / HOLDERS;
+    let cells = servers / SERVERS_PER_CELL;
     Settings { cells, reach: 1, shards: cells, ..site.settings }
 }
 
-/// Entries as discovery shows them; restarted ones have a start.
-fn text(rev: u64, all: bool, servers: std::ops::Range<usize>, state: &str, boot_ms: u64) -> String {
+/// Returns a list as discovery sends it. `boot_ms` is the start of the servers, and 0 for servers that did
+/// not restart.
+fn list_json(rev: u64, all: bool, servers: std::ops::Range<usize>, state: &str, boot_ms: u64) -> String {
     let mut text = format!("{{\"rev\":{rev},\"all\":{all},\"targets\":[");
     for n in servers {
-        let (cell, zone) = (n / HOLDERS, n % 19);
+        let (cell, zone) = (n / SERVERS_PER_CELL, n % 19);
         let (a, b, c) = (n / 62_500, n / 250 % 250, n % 250);
         write!(
             text,
@@ -45,7 +47,7 @@
     text + "]}"
 }
 
-/// What a broker holds of the list.
+/// The components of a broker that keep the list.
 struct Broker {
     core: Core,
     ledger: Ledger,
@@ -57,8 +59,8 @@
         Broker { core: Core::new(settings(servers), 1000, 7), ledger: Ledger::default(), now: 0 }
     }
 
-    /// Takes an answer of discovery's as the program does.
-    fn hears(&mut self, text: &str) -> AllocationInfo {
+    /// Applies a response of discovery in the same way as the broker does, and measures its allocations.
+    fn apply(&mut self, text: &str) -> AllocationInfo {
         self.now += SECOND / 100;
         measure(|| {
             let mut targets: Targets = serde_json::from_str(text).unwrap();
@@ -70,81 +72,85 @@
         })
     }
 
-    /// What is told to a process that takes over.
-    fn recall_bytes(&self) -> usize {
+    /// Returns the size in bytes of the learned state for a successor process.
+    fn snapshot_bytes(&self) -> usize {
         serde_json::to_vec(&self.core.recall(self.now, 1)).unwrap().len()
     }
 }
 
 #[test]
-fn a_whole_list_costs_and_holds_in_proportion_to_its_servers() {
-    let mut last: Option<(usize, [u64; 4])> = None;
+fn cost_of_a_complete_list_is_linear_in_its_length() {
+    let mut previous: Option<(usize, [u64; 4])> = None;
     for servers in [SERVERS / 8, SERVERS / 4, SERVERS / 2, SERVERS] {
         let mut broker = Broker::new(servers);
-        let list = text(1, true, 0..servers, "active", 0);
-        let cost = broker.hears(&list);
+        let list = list_json(1, true, 0..servers, "active", 0);
+        let cost = broker.apply(&list);
         assert_eq!(broker.core.census(broker.now).0, servers as u64);
         let held = cost.bytes_current as u64;
-        let now = [list.len() as u64, cost.count_total, cost.bytes_total, held];
+        let counts = [list.len() as u64, cost.count_total, cost.bytes_total, held];
         println!(
             "| whole list of {servers} | {} | {} | {} | {held} ({} each) | {} |",
-            now[0],
-            now[1],
-            now[2],
+            counts[0],
+            counts[1],
+            counts[2],
             held / servers as u64,
-            broker.recall_bytes()
+            broker.snapshot_bytes()
         );
-        if let Some((of, before)) = last {
-            for (what, (now, before)) in
-                ["text", "allocations", "allocated", "held"].iter().zip(now.iter().zip(before))
+        if let Some((previous_servers, before)) = previous {
+            for (what, (count, before)) in
+                ["text", "allocations", "allocated", "held"].iter().zip(counts.iter().zip(before))
             {
-                let times = *now as f64 / before as f64;
-                assert!(times <= TWICE, "{what} of {servers} is {times:.2} times that of {of}");
+                let factor = *count as f64 / before as f64;
+                assert!(
+                    factor <= MAX_DOUBLING_FACTOR,
+                    "{what} of {servers} is {factor:.2} times that of {previous_servers}"
+                );
             }
         }
-        last = Some((servers, now));
+        previous = Some((servers, counts));
     }
 }
 
-/// The same list again leaves no more behind.
+/// Guards against memory in use that grows when the same list is sent again.
 #[test]
-fn a_list_that_is_told_again_is_not_held_twice() {
+fn a_repeated_list_uses_no_more_memory() {
     let mut broker = Broker::new(SERVERS);
-    let first = broker.hears(&text(1, true, 0..SERVERS, "active", 0)).bytes_current;
+    let first = broker.apply(&list_json(1, true, 0..SERVERS, "active", 0)).bytes_current;
     for rev in 2..6 {
-        let more = broker.hears(&text(rev, true, 0..SERVERS, "active", 0)).bytes_current;
-        assert!(more.abs() * 100 <= first, "{more} bytes more at version {rev}, {first} at first");
+        let growth = broker.apply(&list_json(rev, true, 0..SERVERS, "active", 0)).bytes_current;
+        assert!(growth.abs() * 100 <= first, "{growth} bytes more at version {rev}, {first} at first");
     }
 }
 
 #[test]
-fn changes_cost_what_the_list_does_and_each_change_a_little() {
+fn cost_of_changes_is_linear_in_their_number() {
     for servers in [SERVERS / 2, SERVERS] {
         let mut broker = Broker::new(servers);
-        broker.hears(&text(1, true, 0..servers, "active", 0));
-        // What a change costs whatever it tells, and what each entry adds.
+        broker.apply(&list_json(1, true, 0..servers, "active", 0));
+        // Costs by number of changed servers. They show the fixed cost of an update and the cost of each
+        // entry.
         let mut costs = Vec::new();
-        for (n, changed) in CHANGES.into_iter().enumerate() {
-            let news = text(2 + n as u64, false, 0..changed, "active", 1_796_125_500_000);
-            let cost = broker.hears(&news);
+        for (n, changed) in CHANGED_SERVERS.into_iter().enumerate() {
+            let update = list_json(2 + n as u64, false, 0..changed, "active", 1_796_125_500_000);
+            let cost = broker.apply(&update);
             println!(
                 "| {changed} restarted of {servers} | {} | {} | {} | {} | {} |",
-                news.len(),
+                update.len(),
                 cost.count_total,
                 cost.bytes_total,
                 cost.bytes_current,
-                broker.recall_bytes()
+                broker.snapshot_bytes()
             );
-            assert!(news.len() <= 200 * changed + 100);
+            assert!(update.len() <= 200 * changed + 100);
             costs.push((changed, cost));
         }
         let (one, zone) = (costs[0].1, costs[3].1);
-        let each = (zone.count_total - one.count_total) as f64 / (CHANGES[3] - 1) as f64;
+        let each = (zone.count_total - one.count_total) as f64 / (CHANGED_SERVERS[3] - 1) as f64;
         assert!(each <= 8.0, "{each} allocations for each changed server");
         for (changed, cost) in &costs {
-            let most = one.count_total as f64 + 8.0 * *changed as f64;
+            let max = one.count_total as f64 + 8.0 * *changed as f64;
             assert!(
-                cost.count_total as f64 <= most,
+                cost.count_total as f64 <= max,
                 "{changed} of {servers}: {} allocations",
                 cost.count_total
             );
@@ -154,30 +160,33 @@
                 cost.bytes_current
             );
         }
-        // All rows are made anew at each change.
+        // Each update rebuilds all rows.
         assert!(one.count_total <= 3 * servers as u64, "one of {servers}: {} allocations", one.count_total);
     }
 }
 
-/// Servers are replaced under new names all day: those that went are forgotten, so that what is held stays as it was.
+/// Guards against memory that grows when servers are replaced under new names all day: servers that are gone
+/// must be removed.
 #[test]
-fn a_day_of_replacements_leaves_no_more_behind_than_servers_that_serve() {
+fn memory_stays_constant_over_a_day_of_replacements() {
     let mut broker = Broker::new(SERVERS);
-    let list = broker.hears(&text(1, true, 0..SERVERS, "active", 0)).bytes_current;
+    let list = broker.apply(&list_json(1, true, 0..SERVERS, "active", 0)).bytes_current;
     let mut held = list;
-    // A day's 976 restarts and failures under new names; the first is gone when the next comes.
+    // 976 restarts and failures per day, each under a new name. A server has left the list when its successor
+    // joins.
     for n in 0..976 {
-        held += broker.hears(&text(2 + 2 * n, false, n as usize..n as usize + 1, "left", 0)).bytes_current;
+        held +=
+            broker.apply(&list_json(2 + 2 * n, false, n as usize..n as usize + 1, "left", 0)).bytes_current;
         let new = SERVERS + n as usize;
-        held += broker.hears(&text(3 + 2 * n, false, new..new + 1, "active", 0)).bytes_current;
+        held += broker.apply(&list_json(3 + 2 * n, false, new..new + 1, "active", 0)).bytes_current;
         broker.now += 88 * SECOND;
         held += measure(|| drop(broker.core.tick(broker.now))).bytes_current;
     }
     println!(
         "| 976 replaced of {SERVERS}, a day | | | | {held} held, {list} before | {} |",
-        broker.recall_bytes()
+        broker.snapshot_bytes()
     );
     assert_eq!(broker.core.census(broker.now).0, SERVERS as u64);
-    // What the watch still knows of those that are gone is bounded on its own.
+    // The watch keeps entries of gone servers for a while, and limits them separately.
     assert!(held <= list + list / 20, "{held} held, {list} before");
 }
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -1,5 +1,6 @@
-//! Every setting that a platform may give, left out, null, and zero: a broker either serves, or ends with an error that
-//! names the key. Which of the two is written down here, for two sites that have little in common.
+//! Checks every setting of a platform when it is missing, null or zero: a broker must either serve queries or
+//! end with an error that names the key. The expected result of each setting is listed here, for two very
+//! different sites.
 
 use brookbend::api::NodeState;
 use http::Request;
@@ -15,8 +16,9 @@
     ("repeatable", include_str!("../../model/tests/sites/repeatable.json")),
 ];
 
-/// Without these there is no serving: no default could be meant. By the end of the path.
-const NEEDED: &[&str] = &[
+/// Settings that are required because they have no sensible default. The last segment of the path is the key
+/// that the error names.
+const REQUIRED: &[&str] = &[
     "Allowed",
     "Allowed/SendCap",
     "FamilyInfo",
@@ -46,10 +48,10 @@
     "Services/Semantics",
     "Tick",
 ];
-/// Nor without a name; the error names the list.
-const NAMED: &[&str] = &["Projects/Name", "Services/Name"];
-/// These cannot be zero.
-const NOT_ZERO: &[&str] = &[
+/// Names that are required. The error names the list that they belong to.
+const REQUIRED_NAMES: &[&str] = &["Projects/Name", "Services/Name"];
+/// Settings that must not be zero.
+const NONZERO: &[&str] = &[
     "Allowed/DialTimeout",
     "Allowed/Keepalive",
     "Allowed/MaxOpen",
@@ -69,10 +71,10 @@
     "Tick",
 ];
 
-/// All keys, by their pointers, in order.
-fn keys(value: &Value, at: &str, found: &mut Vec<String>) {
+/// Collects the JSON pointers of all keys, in order.
+fn keys(value: &Value, prefix: &str, found: &mut Vec<String>) {
     let mut inner = |name: &str, value: &Value| {
-        let path = format!("{at}/{name}");
+        let path = format!("{prefix}/{name}");
         keys(value, &path, found);
         path
     };
@@ -88,10 +90,11 @@
     }
 }
 
-/// The path without places in lists.
-fn plain(path: &str) -> String {
-    let words: Vec<&str> = path.split('/').filter(|w| !w.is_empty() && w.parse::<usize>().is_err()).collect();
-    words.join("/")
+/// Returns the path without list indices.
+fn without_indices(path: &str) -> String {
+    let segments: Vec<&str> =
+        path.split('/').filter(|s| !s.is_empty() && s.parse::<usize>().is_err()).collect();
+    segments.join("/")
 }
 
 fn parent<'a>(settings: &'a mut Value, path: &str) -> (&'a mut serde_json::Map<String, Value>, String) {
@@ -104,7 +107,8 @@
         "known": {"rev": 1, "all": true, "targets": []}})
 }
 
-/// A request for a class, as clients of the site send it: of several parts, with what the platform may add.
+/// Returns a request for a class as clients of the site send it, with several parts and with headers that the
+/// platform may add.
 fn request(n: u64, class: &str) -> Request<Vec<u8>> {
     let ranges: Vec<Value> = [0, 1, 2, 5]
         .into_iter()
@@ -121,12 +125,13 @@
         .unwrap()
 }
 
-/// Runs a query to its end, with servers that answer or say nothing; `None`: it never ends.
+/// Runs a query to its end, with servers that all answer or that never answer. Returns `None` if the query
+/// never ends.
 fn run(core: &mut Core, now: &mut Micros, query: Query, answered: bool) -> Option<Verdict> {
-    let (id, last) = (query.id, query.give_up_at);
+    let (id, deadline) = (query.id, query.give_up_at);
     let mut decisions = core.pick(*now, vec![query]);
     loop {
-        if let Some(end) = decisions.completions.iter().find(|f| f.query == id) {
+        if let Some(end) = decisions.completions.iter().find(|c| c.query == id) {
             return Some(end.verdict);
         }
         let sent: Vec<_> = std::mem::take(&mut decisions.dispatches);
@@ -140,16 +145,16 @@
             continue;
         }
         *now = core.next_tick_at().max(*now + 5000);
-        if *now > last {
+        if *now > deadline {
             return None;
         }
         decisions = core.tick(*now);
     }
 }
 
-/// Asks each class, several times, with seconds between: what is counted by the second is divided by then. Last, nobody
-/// answers, and each query ends all the same.
-fn serve(config: Config, of: &str) {
+/// Sends queries of each class several times, with seconds between, so that rates per second are computed. In
+/// the last round no server answers, and each query must still end.
+fn serve(config: Config, case: &str) {
     let mut core = Core::new(config.settings.clone(), config.max_open, config.seed).with_names(&config.names);
     let server = |n: usize| ServerInfo {
         name: NodeId(format!("s{n}").into()),
@@ -164,69 +169,70 @@
         for class in &config.names.classes {
             id += 1;
             let request = request(id, class);
-            let ask = plover_query::decode(&request, &config.names, &config.settings, &Routes::default());
-            let ask = ask.unwrap_or_else(|reply| panic!("{of}: {class} is answered {reply:?}"));
+            let decoded = plover_query::decode(&request, &config.names, &config.settings, &Routes::default());
+            let decoded = decoded.unwrap_or_else(|reply| panic!("{case}: {class} is answered {reply:?}"));
             let query = Query {
                 id,
-                class: ask.class,
-                tenant: ask.tenant,
-                give_up_at: now + ask.client_timeout,
-                limits: ask.limits,
-                again: ask.is_retry,
-                parts: ask.parts,
+                class: decoded.class,
+                tenant: decoded.tenant,
+                give_up_at: now + decoded.client_timeout,
+                limits: decoded.limits,
+                again: decoded.is_retry,
+                parts: decoded.parts,
             };
             let end = run(&mut core, &mut now, query, round < 4);
-            let end = end.unwrap_or_else(|| panic!("{of}: {class} never ends"));
-            assert!(round == 4 || matches!(end, Verdict::Answer { .. }), "{of}: {class} ends with {end:?}");
+            let end = end.unwrap_or_else(|| panic!("{case}: {class} never ends"));
+            assert!(round == 4 || matches!(end, Verdict::Answer { .. }), "{case}: {class} ends with {end:?}");
         }
         now += 1200 * 1000;
         let _: Decisions = core.tick(now);
     }
-    assert_eq!(core.units_in_use(), 0, "{of}");
+    assert_eq!(core.units_in_use(), 0, "{case}");
     assert!(now < 600 * SECOND);
 }
 
-fn holds(settings: &Value, of: &str, error: Option<&str>) {
+/// Checks that the settings serve queries, or fail with an error that names this key.
+fn assert_serves_or_fails(settings: &Value, case: &str, error: Option<&str>) {
     match (check(&configuration(settings), |_| None), error) {
-        (Ok(config), None) => serve(config, of),
-        (Ok(_), Some(name)) => panic!("{of}: no error names {name}"),
+        (Ok(config), None) => serve(config, case),
+        (Ok(_), Some(name)) => panic!("{case}: no error names {name}"),
         (Err(error), Some(name)) if error.contains(name) => {}
-        (Err(error), _) => panic!("{of}: {error}"),
+        (Err(error), _) => panic!("{case}: {error}"),
     }
 }
 
-/// The last word of the path where this list has it.
-fn named<'a>(path: &'a str, of: &[&str]) -> Option<&'a str> {
-    of.contains(&path).then(|| path.rsplit('/').next().unwrap())
+/// Returns the last segment of the path if the list contains the path.
+fn listed_key<'a>(path: &'a str, list: &[&str]) -> Option<&'a str> {
+    list.contains(&path).then(|| path.rsplit('/').next().unwrap())
 }
 
 #[test]
-fn a_setting_that_is_left_out_or_null_has_a_default_or_is_named() {
+fn a_missing_or_null_setting_has_a_default_or_an_error() {
     for (site, text) in SITES {
         let settings: Value = serde_json::from_str(text).unwrap();
-        holds(&settings, site, None);
+        assert_serves_or_fails(&settings, site, None);
         let mut paths = Vec::new();
         keys(&settings, "", &mut paths);
         assert!(paths.len() > 70, "{}", paths.len());
         for path in paths {
-            let name = plain(&path);
+            let name = without_indices(&path);
             let keyed = path == "/Services/1/MemorySpan" && site == "keyed";
-            let list = NAMED.contains(&name.as_str()).then(|| name.split('/').next().unwrap());
-            let error = named(&name, NEEDED).or(list).or(keyed.then_some("MemorySpan"));
+            let list = REQUIRED_NAMES.contains(&name.as_str()).then(|| name.split('/').next().unwrap());
+            let error = listed_key(&name, REQUIRED).or(list).or(keyed.then_some("MemorySpan"));
             let mut without = settings.clone();
             let (fields, key) = parent(&mut without, &path);
             fields.remove(&key).unwrap();
-            holds(&without, &format!("{site} without {path}"), error);
+            assert_serves_or_fails(&without, &format!("{site} without {path}"), error);
             let mut null = settings.clone();
             let (fields, key) = parent(&mut null, &path);
             fields.insert(key, Value::Null);
-            holds(&null, &format!("{site} with null at {path}"), error);
+            assert_serves_or_fails(&null, &format!("{site} with null at {path}"), error);
         }
     }
 }
 
 #[test]
-fn a_setting_that_is_zero_is_served_by_or_named() {
+fn a_zero_setting_is_valid_or_an_error() {
     for (site, text) in SITES {
         let settings: Value = serde_json::from_str(text).unwrap();
         let mut paths = Vec::new();
@@ -239,20 +245,20 @@
                 _ => continue,
             };
             zeros += 1;
-            let name = plain(&path);
+            let name = without_indices(&path);
             let keyed = path == "/Services/1/MemorySpan" && site == "keyed";
-            let error = named(&name, NOT_ZERO).or(keyed.then_some("MemorySpan"));
+            let error = listed_key(&name, NONZERO).or(keyed.then_some("MemorySpan"));
             let mut changed = settings.clone();
             *changed.pointer_mut(&path).unwrap() = zero;
-            holds(&changed, &format!("{site} with zero at {path}"), error);
+            assert_serves_or_fails(&changed, &format!("{site} with zero at {path}"), error);
         }
         assert!(zeros > 40, "{zeros}");
     }
 }
 
-/// What a site may lack by its nature, all at once, and lists that are there and empty.
+/// Checks a site without all optional settings at once, and with empty lists.
 #[test]
-fn a_site_that_has_none_of_it_is_served() {
+fn optional_settings_may_all_be_missing() {
     for (site, text) in SITES {
         let mut settings: Value = serde_json::from_str(text).unwrap();
         for key in ["Projects", "Zones", "Locality", "OverShareWorth", "Clients", "Report", "Tariffs", "Goal"]
@@ -267,36 +273,37 @@
             service["Semantics"] = json!("repeatable");
             service.as_object_mut().unwrap().remove("MemorySpan");
         }
-        holds(&settings, site, None);
+        assert_serves_or_fails(&settings, site, None);
         settings["Projects"] = json!([]);
         settings["Zones"] = json!([]);
-        holds(&settings, site, None);
-        // A span without a ratio rations nothing; a ratio without its span is no rule that could be kept.
+        assert_serves_or_fails(&settings, site, None);
+        // A span without a ratio limits nothing. A ratio without its span is an error, since it has no
+        // defined meaning.
         settings["Rules"]["RatioSpan"] = json!(10_000);
-        holds(&settings, site, None);
+        assert_serves_or_fails(&settings, site, None);
         assert!(check(&configuration(&settings), |_| None).unwrap().settings.budget.is_none());
         settings["Rules"]["RatioSpan"] = Value::Null;
         settings["Rules"]["ExtraRatio"] = json!(0.1);
-        holds(&settings, site, Some("RatioSpan"));
+        assert_serves_or_fails(&settings, site, Some("RatioSpan"));
     }
 }
 
-/// Clients that are told to come back after no time would all be back at once.
+/// Guards against clients that all retry at once because the advised time is zero.
 #[test]
-fn advice_of_no_time_is_none() {
-    for (most, advice) in
+fn a_retry_time_of_zero_is_not_advised() {
+    for (max_retry_after, expected) in
         [(json!(500.0), Some(500.0)), (json!(0), None), (json!(-1), None), (Value::Null, None)]
     {
         let mut settings: Value = serde_json::from_str(SITES[1].1).unwrap();
-        settings["Allowed"]["MaxRetryAfter"] = most;
+        settings["Allowed"]["MaxRetryAfter"] = max_retry_after;
         let config = check(&configuration(&settings), |_| None).unwrap();
-        assert_eq!(config.settings.max_retry_after, advice);
+        assert_eq!(config.settings.max_retry_after, expected);
     }
 }
 
-/// What no figure can be, of a wrong kind, or against another.
+/// Checks values that are out of range, of a wrong type, or in contradiction to another setting.
 #[test]
-fn what_cannot_be_meant_is_named() {
+fn invalid_values_are_errors() {
     for (path, value, name) in [
         ("/WorthBy", json!("weight"), "WorthBy"),
         ("/MembershipMode", json!("carrier"), "MembershipMode"),
@@ -314,16 +321,16 @@
     ] {
         let mut settings: Value = serde_json::from_str(SITES[0].1).unwrap();
         *settings.pointer_mut(path).unwrap() = value;
-        holds(&settings, path, Some(name));
+        assert_serves_or_fails(&settings, path, Some(name));
     }
-    // Nothing needed is whole with nothing in.
+    // If no share of the parts is needed, an answer without any part would count as complete.
     let mut settings: Value = serde_json::from_str(SITES[0].1).unwrap();
     for key in ["ClassNeed", "MinShare"] {
         settings["FamilyInfo"][key] = json!([0, 0, 0]);
     }
-    holds(&settings, "no need", Some("ClassNeed"));
-    // Repeats of a class that has no key may be dropped by whom they like.
+    assert_serves_or_fails(&settings, "no need", Some("ClassNeed"));
+    // The scope of deduplication has no effect for a class without idempotency keys.
     let mut settings: Value = serde_json::from_str(SITES[0].1).unwrap();
     settings["Services"][0]["DedupScope"] = json!("cell");
-    holds(&settings, "another class", None);
+    assert_serves_or_fails(&settings, "another class", None);
 }
--- a/crates/core/tests/simulated/main.rs
+++ b/crates/core/tests/simulated/main.rs
@@ -1,5 +1,5 @@
-//! One broker's decisions over data servers, in simulated time.
+//! Simulation of the decisions of one broker and its data servers, in simulated time.
 
 mod burst;
-mod day;
+mod simulation;
 mod spell;
--- a/crates/core/tests/wide.rs
+++ b/crates/core/tests/wide.rs
@@ -1,4 +1,4 @@
-//! Queries of more parts than a name of three digits can number.
+//! Queries with more parts than three digits can number.
 
 use brookbend::api::NodeState;
 use brookbend::settings::{Message, decode};
@@ -25,9 +25,9 @@
     core
 }
 
-/// Each part keeps its number from the attempt to the report, in order, and a query of another number keeps its own.
+/// Guards against part numbers above 999 that are mixed up between parts or between queries.
 #[test]
-fn parts_keep_their_numbers_beyond_a_thousand() {
+fn part_numbers_above_a_thousand_are_kept() {
     let mut core = core(4);
     let part = PartSpec { shard: 0, weight: 1.0 / PARTS as f64, work_hint: None };
     let query = |id| Query {
@@ -47,7 +47,7 @@
     let served =
         |a| Report { attempt: a, outcome: Outcome::Served, elapsed: 2000, load: None, connected_at: None };
     let first = core.report(4000, rest.iter().map(|d| served(d.attempt)).collect()).completions;
-    assert_eq!(first.iter().map(|f| f.query).collect::<Vec<_>>(), [9], "the other one misses a part");
+    assert_eq!(first.iter().map(|f| f.query).collect::<Vec<_>>(), [9], "the other query lacks a part");
     let then = core.report(5000, vec![served(last.attempt)]).completions;
     assert_eq!((then[0].query, then[0].verdict), (10, Verdict::Answer { whole: true }));
     assert_eq!(core.units_in_use(), 0);
