--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -146,7 +146,7 @@
     aggregator: Aggregator,
     settings: Settings,
     /// Maximum number of units (queries and parts) that all processes of this broker may have open together.
-    max_open: usize,
+    max_units: usize,
     /// Number of units that the other processes of this broker have open.
     sibling_units: usize,
     /// Number of processes of this broker.
@@ -180,8 +180,8 @@
 }
 
 impl Core {
-    /// Creates a core with at most `max_open` open queries and parts together.
-    pub fn new(settings: Settings, max_open: usize, seed: u64) -> Self {
+    /// Creates a core with at most `max_units` open queries and parts together.
+    pub fn new(settings: Settings, max_units: usize, seed: u64) -> Self {
         Core {
             index_table: IndexTable::new(&settings, &Names::default()),
             finish_by: Micros::MAX,
@@ -189,7 +189,7 @@
             retention_check_at: None,
             aggregator: Aggregator::new(settings.clone(), seed),
             settings,
-            max_open,
+            max_units,
             sibling_units: 0,
             processes: 1,
             units_in_use: 0,
@@ -222,7 +222,7 @@
     /// Applies new settings, as indexed by [`Core::index_settings`], to queries that arrive from now on.
     /// Learned state of servers is kept. Until `effective_at` the limits of the previous settings also apply
     /// where they are stricter.
-    pub fn retune(&mut self, indexed: &IndexedSettings, max_open: usize, effective_at: Micros) {
+    pub fn retune(&mut self, indexed: &IndexedSettings, max_units: usize, effective_at: Micros) {
         // A second change before the first has taken effect must not lift the limits that the first one still
         // keeps.
         let pending = self.previous_limits.filter(|limits| indexed.indexed_at < limits.until);
@@ -236,7 +236,7 @@
         self.index_table.apply(indexed);
         self.retention_check_at = self.index_table.next_retention_check(indexed.indexed_at);
         self.settings = indexed.settings.clone();
-        self.max_open = max_open;
+        self.max_units = max_units;
         self.aggregator.retune(self.shared_settings(), &indexed.new_classes);
         self.aggregator.forget_tenants(&indexed.new_tenants);
     }
@@ -374,39 +374,39 @@
         let mut refused = Vec::new();
         let previous_max_attempts =
             self.previous_limits.filter(|limits| now < limits.until).map(|limits| limits.max_attempts);
-        for q in queries {
-            let units = 1 + q.parts.len();
-            if self.units_in_use + self.sibling_units + units > self.max_open {
-                let retry_after = self.retry_after_when_full(q.class);
-                refused.push(Completion { query: q.id, verdict: Verdict::Refuse { retry_after } });
+        for query in queries {
+            let units = 1 + query.parts.len();
+            if self.units_in_use + self.sibling_units + units > self.max_units {
+                let retry_after = self.retry_after_when_full(query.class);
+                refused.push(Completion { query: query.id, verdict: Verdict::Refuse { retry_after } });
                 continue;
             }
             self.units_in_use += units;
-            let timeout_at = q.limits.timeout.map_or(Micros::MAX, |timeout| now.saturating_add(timeout));
-            let give_up_at = q.give_up_at.min(timeout_at).min(self.finish_by);
-            self.deadlines.insert((give_up_at, q.id));
-            let attempt_timeout = q.limits.attempt_timeout.unwrap_or(Micros::MAX);
-            let attempts = vec![0; q.parts.len()];
-            self.index_table.open_query(q.class, q.tenant);
-            let (class, tenant) = (q.class, q.tenant);
-            self.open.insert(q.id, OpenQuery { class, tenant, attempt_timeout, attempts, give_up_at });
+            let timeout_at = query.limits.timeout.map_or(Micros::MAX, |timeout| now.saturating_add(timeout));
+            let give_up_at = query.give_up_at.min(timeout_at).min(self.finish_by);
+            self.deadlines.insert((give_up_at, query.id));
+            let attempt_timeout = query.limits.attempt_timeout.unwrap_or(Micros::MAX);
+            let attempts = vec![0; query.parts.len()];
+            self.index_table.open_query(query.class, query.tenant);
+            let (class, tenant) = (query.class, query.tenant);
+            self.open.insert(query.id, OpenQuery { class, tenant, attempt_timeout, attempts, give_up_at });
             self.staged.push(Event::Query(brookbend::api::Query {
-                id: RequestId::Query(q.id),
-                group: q.id,
-                class: ClassIndex(q.class),
-                tenant: TenantIndex(q.tenant),
+                id: RequestId::Query(query.id),
+                group: query.id,
+                class: ClassIndex(query.class),
+                tenant: TenantIndex(query.tenant),
                 give_up_at: to_ms(give_up_at),
-                patience_ends: to_ms(q.give_up_at),
-                max_attempts: [q.limits.max_attempts, previous_max_attempts].into_iter().flatten().min(),
-                again: q.again,
+                patience_ends: to_ms(query.give_up_at),
+                max_attempts: [query.limits.max_attempts, previous_max_attempts].into_iter().flatten().min(),
+                again: query.again,
             }));
-            self.staged.extend(q.parts.iter().enumerate().map(|(i, p)| {
+            self.staged.extend(query.parts.iter().enumerate().map(|(i, part)| {
                 Event::Part(Part {
-                    id: part_id(q.id, i),
-                    group: q.id,
-                    shard: p.shard,
-                    weight: p.weight,
-                    work_hint: p.work_hint.map(to_ms),
+                    id: part_id(query.id, i),
+                    group: query.id,
+                    shard: part.shard,
+                    weight: part.weight,
+                    work_hint: part.work_hint.map(to_ms),
                 })
             }));
         }
@@ -603,10 +603,10 @@
     use brookbend::settings::{Message, decode};
     use serde_json::Value;
 
-    fn core(max_open: usize) -> Core {
+    fn core(max_units: usize) -> Core {
         let settings: Value = serde_json::from_str(include_str!("../../model/tests/settings.json")).unwrap();
         let site = decode(&Message::new("settings", settings.as_object().unwrap())).unwrap();
-        let mut core = Core::new(site.settings, max_open, 7);
+        let mut core = Core::new(site.settings, max_units, 7);
         let server = |n: usize| ServerInfo {
             name: NodeId(format!("s{n}").into()),
             cell: 0,
--- a/crates/core/tests/fleet_lists.rs
+++ b/crates/core/tests/fleet_lists.rs
@@ -86,19 +86,19 @@
         let list = list_json(1, true, 0..servers, "active", 0);
         let cost = broker.apply(&list);
         assert_eq!(broker.core.census(broker.now).0, servers as u64);
-        let held = cost.bytes_current as u64;
-        let counts = [list.len() as u64, cost.count_total, cost.bytes_total, held];
+        let in_use = cost.bytes_current as u64;
+        let counts = [list.len() as u64, cost.count_total, cost.bytes_total, in_use];
         println!(
-            "| whole list of {servers} | {} | {} | {} | {held} ({} each) | {} |",
+            "| whole list of {servers} | {} | {} | {} | {in_use} ({} each) | {} |",
             counts[0],
             counts[1],
             counts[2],
-            held / servers as u64,
+            in_use / servers as u64,
             broker.snapshot_bytes()
         );
         if let Some((previous_servers, before)) = previous {
             for (what, (count, before)) in
-                ["text", "allocations", "allocated", "held"].iter().zip(counts.iter().zip(before))
+                ["text", "allocations", "allocated", "in use"].iter().zip(counts.iter().zip(before))
             {
                 let factor = *count as f64 / before as f64;
                 assert!(
@@ -171,22 +171,22 @@
 fn memory_stays_constant_over_a_day_of_replacements() {
     let mut broker = Broker::new(SERVERS);
     let list = broker.apply(&list_json(1, true, 0..SERVERS, "active", 0)).bytes_current;
-    let mut held = list;
+    let mut in_use = list;
     // 976 restarts and failures per day, each under a new name. A server has left the list when its successor
     // joins.
     for n in 0..976 {
-        held +=
+        in_use +=
             broker.apply(&list_json(2 + 2 * n, false, n as usize..n as usize + 1, "left", 0)).bytes_current;
         let new = SERVERS + n as usize;
-        held += broker.apply(&list_json(3 + 2 * n, false, new..new + 1, "active", 0)).bytes_current;
+        in_use += broker.apply(&list_json(3 + 2 * n, false, new..new + 1, "active", 0)).bytes_current;
         broker.now += 88 * SECOND;
-        held += measure(|| drop(broker.core.tick(broker.now))).bytes_current;
+        in_use += measure(|| drop(broker.core.tick(broker.now))).bytes_current;
     }
     println!(
-        "| 976 replaced of {SERVERS}, a day | | | | {held} held, {list} before | {} |",
+        "| 976 replaced of {SERVERS}, a day | | | | {in_use} in use, {list} before | {} |",
         broker.snapshot_bytes()
     );
     assert_eq!(broker.core.census(broker.now).0, SERVERS as u64);
     // The watch keeps entries of gone servers for a while, and limits them separately.
-    assert!(held <= list + list / 20, "{held} held, {list} before");
+    assert!(in_use <= list + list / 20, "{in_use} in use, {list} before");
 }
--- a/crates/query/src/decode.rs
+++ b/crates/query/src/decode.rs
@@ -107,21 +107,21 @@
     }
     let mut seen = vec![false; shards];
     let mut parts = Vec::with_capacity(ranges.len());
-    for r in ranges {
+    for range in ranges {
         // The id of a part is derived from its shard, so two parts of one shard could not be distinguished.
-        match seen.get_mut(r.range) {
+        match seen.get_mut(range.range) {
             Some(seen) if !*seen => *seen = true,
             Some(_) => return bad_request(400, "a range is given twice"),
             None => return bad_request(400, "a range is out of bounds"),
         }
-        if !(0.0..=1.0).contains(&r.portion) {
+        if !(0.0..=1.0).contains(&range.portion) {
             return bad_request(400, "a portion is out of bounds");
         }
-        if !r.price.is_none_or(|p| (0.0..=MAX_DURATION as f64).contains(&p)) {
+        if !range.price.is_none_or(|p| (0.0..=MAX_DURATION as f64).contains(&p)) {
             return bad_request(400, "a price is out of bounds");
         }
-        let work_hint = r.price.map(|p| p as Micros).filter(|p| *p > 0);
-        parts.push(PartSpec { shard: r.range, weight: r.portion, work_hint });
+        let work_hint = range.price.map(|p| p as Micros).filter(|p| *p > 0);
+        parts.push(PartSpec { shard: range.range, weight: range.portion, work_hint });
     }
     // The weights decide whether an answer is complete and whether a partial answer is allowed. If they do
     // not add up to 1, no answer would be correct.
