--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -275,7 +275,7 @@
         self.sibling_units = units;
     }
 
-    /// Sets the number of processes of this broker. The number of parts that all brokers may send to a cold
+    /// Sets the number of processes of this broker. The load that all brokers together may put on a cold
     /// server is divided among all processes.
     pub fn set_process_count(&mut self, processes: u32) {
         let processes = processes.max(1) as usize;
--- a/crates/core/tests/indices.rs
+++ b/crates/core/tests/indices.rs
@@ -37,15 +37,15 @@
 }
 
 /// Applies new settings, which take effect after a second. Returns them with the assigned indices.
-fn apply(core: &mut Core, now: Micros, file: &(Settings, Names)) -> (Settings, Names) {
-    let indexed = core.index_settings(now, &file.0, &file.1).unwrap();
+fn apply(core: &mut Core, now: Micros, new: &(Settings, Names)) -> (Settings, Names) {
+    let indexed = core.index_settings(now, &new.0, &new.1).unwrap();
     core.retune(&indexed, 1000, now + SECOND);
     (indexed.settings, indexed.names)
 }
 
 /// Returns settings with these classes, each with a name and a variant, and these tenants, each with a name
 /// and a quota.
-fn file(classes: &[(usize, u32)], tenants: &[(usize, u32)]) -> (Settings, Names) {
+fn settings_with(classes: &[(usize, u32)], tenants: &[(usize, u32)]) -> (Settings, Names) {
     let (mut settings, mut names) = settings();
     let template = settings.classes[0].clone();
     let class = |(n, variant): &(usize, u32)| Class {
@@ -121,15 +121,15 @@
     #[test]
     fn indices_are_stable_from_decoding_to_the_end(steps in steps()) {
         let mut now = 0;
-        let mut core = core(&file(&[(0, 0)], &[(0, 1)]).0, &file(&[(0, 0)], &[(0, 1)]).1);
-        let mut current = file(&[(0, 0)], &[(0, 1)]);
+        let mut core = core(&settings_with(&[(0, 0)], &[(0, 1)]).0, &settings_with(&[(0, 0)], &[(0, 1)]).1);
+        let mut current = settings_with(&[(0, 0)], &[(0, 1)]);
         let mut previous = current.clone();
         let (mut decoded, mut open): (Vec<DecodedRequest>, Vec<DecodedRequest>) = Default::default();
         let mut next_id = 1;
         for step in steps {
             match step {
                 Step::Settings(classes, tenants) => {
-                    previous = std::mem::replace(&mut current, apply(&mut core, now, &file(&classes, &tenants)));
+                    previous = std::mem::replace(&mut current, apply(&mut core, now, &settings_with(&classes, &tenants)));
                 }
                 Step::Request(class, tenant, use_previous) => {
                     let config = if use_previous { &previous } else { &current };
@@ -171,12 +171,17 @@
 /// removed tenants are reused, but never while a query of the tenant is open.
 #[test]
 fn indices_of_removed_tenants_are_reused() {
-    let mut core = core(&file(&[(0, 0)], &[(0, 1)]).0, &file(&[(0, 0)], &[(0, 1)]).1);
+    let mut core = core(&settings_with(&[(0, 0)], &[(0, 1)]).0, &settings_with(&[(0, 0)], &[(0, 1)]).1);
     core.pick(0, vec![query(1, 0, 0, 100_000 * SECOND)]);
     for n in 1..3 * MAX_INDICES {
         let now = n as Micros * 40 * SECOND;
-        let indexed =
-            core.index_settings(now, &file(&[(0, 0)], &[(n, 1)]).0, &file(&[(0, 0)], &[(n, 1)]).1).unwrap();
+        let indexed = core
+            .index_settings(
+                now,
+                &settings_with(&[(0, 0)], &[(n, 1)]).0,
+                &settings_with(&[(0, 0)], &[(n, 1)]).1,
+            )
+            .unwrap();
         let index = indexed.names.tenant(format!("tenant{n}").as_bytes()).unwrap();
         assert_eq!((index > 0, indexed.new_tenants.as_slice()), (true, [index].as_slice()));
         core.retune(&indexed, 1000, now);
@@ -187,12 +192,12 @@
 /// tenants.
 #[test]
 fn the_implicit_tenant_has_its_own_index() {
-    let none = file(&[(0, 0)], &[]);
+    let none = settings_with(&[(0, 0)], &[]);
     let mut core = core(&none.0, &none.1);
     assert_eq!(none.1.implicit_tenant(), Some(0));
     let (same, names) = apply(&mut core, 0, &none);
     assert_eq!((names.implicit_tenant(), same.tenants.len()), (Some(0), 1));
-    let (_, names) = apply(&mut core, 0, &file(&[(0, 0)], &[(0, 1), (1, 1)]));
+    let (_, names) = apply(&mut core, 0, &settings_with(&[(0, 0)], &[(0, 1), (1, 1)]));
     assert_eq!((names.implicit_tenant(), names.tenant(b"tenant0"), names.tenant(b"")), (None, Some(1), None));
     let (_, names) = apply(&mut core, 0, &none);
     assert_eq!((names.implicit_tenant(), names.tenant(b"tenant0")), (Some(0), None));
@@ -201,9 +206,9 @@
 /// Guards against open queries that exceed the quota of their tenant only because the tenant was removed.
 #[test]
 fn a_removed_tenant_keeps_its_quota() {
-    let both = file(&[(0, 0)], &[(0, 70), (1, 30)]);
+    let both = settings_with(&[(0, 0)], &[(0, 70), (1, 30)]);
     let mut core = core(&both.0, &both.1);
-    let (settings, _) = apply(&mut core, 0, &file(&[(0, 0)], &[(1, 40)]));
+    let (settings, _) = apply(&mut core, 0, &settings_with(&[(0, 0)], &[(1, 40)]));
     let quotas: Vec<f64> = settings.tenants.iter().map(|t| t.quota_per_s).collect();
     assert_eq!(quotas, [70.0, 40.0]);
 }
@@ -212,7 +217,7 @@
 /// After that, its aim no longer influences decisions.
 #[test]
 fn the_aim_of_a_removed_class_counts_while_clients_may_use_it() {
-    let (old, new) = (file(&[(0, 0)], &[(0, 1)]), file(&[(1, 0)], &[(0, 1)]));
+    let (old, new) = (settings_with(&[(0, 0)], &[(0, 1)]), settings_with(&[(1, 0)], &[(0, 1)]));
     let mut core = core(&old.0, &old.1);
     let (settings, _) = apply(&mut core, 0, &new);
     assert_eq!(settings.classes[0].aim, 1000.0);
--- a/crates/core/tests/simulated/simulation.rs
+++ b/crates/core/tests/simulated/simulation.rs
@@ -70,8 +70,8 @@
     outcome: Outcome,
 }
 
-/// Returns the mean time that a server takes for a part, by the class of the query and the number of the
-/// server. The shard of a server is its number modulo the number of shards.
+/// Function that returns the mean time that a server takes for a part, by the class of the query and the
+/// number of the server. The shard of a server is its number modulo the number of shards.
 pub type ServiceTime = Box<dyn Fn(usize, usize) -> Micros>;
 
 /// A simulated broker with its servers and queries.
