--- a/crates/broker/src/front/mod.rs
+++ b/crates/broker/src/front/mod.rs
@@ -199,7 +199,7 @@
 
     /// Takes other terms, told at this moment.
     pub fn change(&self, at: Micros, terms: RequestConfig) {
-        self.shared.terms.borrow_mut().change(at, terms);
+        self.shared.terms.borrow_mut().update(at, terms);
     }
 
     /// Goes by another stage; with [`Stage::Empty`] idle connections are closed. For [`Stage::Closing`] there is
