--- a/crates/broker/src/upstream/assignment.rs
+++ b/crates/broker/src/upstream/assignment.rs
@@ -1,62 +1,69 @@
-//! Which connection a call goes by.
+//! Assignment of calls to connections.
 
 use super::connection::{Connection, QueuedPart, WriteItem, run};
 use super::connection_table::{PooledConnection, Server};
-use super::{HALTED, Upstream};
+use super::{STALLED_AFTER, Upstream};
 use plover_model::server::NodeId;
 use plover_model::time::{MILLI, Micros};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use tracing::warn;
 
-/// Most connections to a server, where descriptors allow: one spoilt answer ends all that is out beside it, so
-/// that calls are spread while that costs little.
-const PER_SERVER: usize = 4;
-/// A connection that has not come up in this part of the dial time-out is late. Some come up a second later and some never,
-/// while others to the same server take a millisecond: what waits for a late one goes by another.
-pub(super) const LATE_DIAL: Micros = 8;
-/// Most connections to a server that are on their way at once, for that.
-const DIALS: usize = 3;
+/// Maximum number of connections to one server, if descriptors allow. A corrupt answer ends everything in
+/// flight on its connection, so calls are spread as long as that costs little.
+const MAX_PER_SERVER: usize = 4;
+/// Dialling is overdue after the dial time-out divided by this number. Some connections are established a
+/// second late and some never, while others to the same server take a millisecond. What is queued on an
+/// overdue connection is moved to another one.
+pub(super) const OVERDUE_DIAL_DIVISOR: Micros = 8;
+/// Maximum number of connections to one server that are being dialled at once because earlier ones are
+/// overdue.
+const MAX_DIALS: usize = 3;
 
-/// How a call goes out.
+/// Kind of connection that a call is sent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectionChoice {
-    /// On a connection that is idle.
+    /// An idle connection.
     Idle,
-    /// On a new one.
+    /// A connection that is dialled for the call.
     New,
-    /// On one that has other calls out.
+    /// A connection with other calls in flight.
     Shared,
 }
 
 impl Upstream {
-    /// How a call of so many parts to a server would go out now; `None`: it has no address.
+    /// Returns the kind of connection that a call of `parts` parts to a server would be sent on now; `None`
+    /// if the server has no address.
     pub fn connection_choice(&self, now: Micros, name: &NodeId, parts: usize) -> Option<ConnectionChoice> {
         let server = self.servers.get(name).filter(|s| s.endpoint.get().is_some())?;
         let connections = server.connections.borrow();
-        let takes = |c: &&PooledConnection| {
-            let room = c.out.len() + parts.min(self.limits.batch) <= self.limits.multiplex;
-            let is_late = c.late && c.connection.is_dialling();
-            room && !c.retiring && !is_late && !self.is_suspect(now, c)
+        let accepts = |c: &&PooledConnection| {
+            let has_capacity = c.in_flight.len() + parts.min(self.limits.batch) <= self.limits.multiplex;
+            let is_overdue = c.dial_overdue && c.connection.is_dialling();
+            has_capacity && !c.retiring && !is_overdue && !self.is_suspect(now, c)
         };
         let open = connections.iter().filter_map(|id| self.connections.get(id));
-        Some(match open.filter(takes).map(|c| c.out.is_empty()).max() {
+        Some(match open.filter(accepts).map(|c| c.in_flight.is_empty()).max() {
             Some(true) => ConnectionChoice::Idle,
             Some(false) => ConnectionChoice::Shared,
             None => ConnectionChoice::New,
         })
     }
 
-    /// Whether that is out on that connection.
+    /// Whether the part with this wire id is in flight on that connection.
     #[cfg(test)]
-    pub(crate) fn has_in_flight(&self, conn: u64, wire: &str) -> bool {
-        self.connections.get(&conn).is_some_and(|c| c.answered(wire).is_some())
+    pub(crate) fn has_in_flight(&self, connection: u64, wire: &str) -> bool {
+        self.connections.get(&connection).is_some_and(|c| c.attempt_answered_by(wire).is_some())
     }
 
-    /// A connection with room for these parts, on which none of them is out yet: parts go by their ids there, and the answers
-    /// to two attempts at one could not be told apart. Of the idle ones that which rested for longest, since a server
-    /// may close one right after its answer, and a part that crosses the closing ends as a reset; else a new one,
-    /// up to a few for each server; else the emptiest.
+    /// Returns a connection with capacity for these parts on which none of them is in flight yet; `None` if
+    /// the server has no address or no descriptor is free. Answers are matched by part id, so the answers to
+    /// two attempts at one part could not be told apart on the same connection.
+    ///
+    /// Prefers the connection that has been idle for longest, since a server may close a connection right
+    /// after its answer, and a part sent while the server closes the connection ends with a reset. Then
+    /// prefers a new connection, up to a few for each server, and then the one with the fewest attempts in
+    /// flight.
     pub(super) fn connection_for(
         &mut self,
         now: Micros,
@@ -67,16 +74,17 @@
         let dialling = self.dialling(server);
         let connections = server.connections.borrow();
         let open = connections.iter().filter_map(|id| Some((*id, self.connections.get(id)?)));
-        let apart = |c: &PooledConnection| parts.iter().all(|part| c.attempt(&part.id).is_none());
-        let room = |c: &PooledConnection| c.out.len() + parts.len() <= self.limits.multiplex;
-        let waits = |c: &PooledConnection| c.late && c.connection.is_dialling() && dialling < DIALS;
-        let takes = |c: &PooledConnection| !c.retiring && !waits(c) && room(c) && apart(c);
-        let roomy = open.filter(|(_, c)| takes(c) && !self.is_suspect(now, c));
-        let best = roomy.min_by_key(|(_, c)| (c.out.len(), c.used));
-        let most = (self.limits.sockets / self.servers.len().max(1)).clamp(1, PER_SERVER);
-        if let Some((id, conn)) = best
-            && (conn.out.is_empty()
-                || connections.len() >= most
+        let distinct = |c: &PooledConnection| parts.iter().all(|part| c.attempt_for(&part.id).is_none());
+        let has_capacity = |c: &PooledConnection| c.in_flight.len() + parts.len() <= self.limits.multiplex;
+        let avoid =
+            |c: &PooledConnection| c.dial_overdue && c.connection.is_dialling() && dialling < MAX_DIALS;
+        let accepts = |c: &PooledConnection| !c.retiring && !avoid(c) && has_capacity(c) && distinct(c);
+        let candidates = open.filter(|(_, c)| accepts(c) && !self.is_suspect(now, c));
+        let best = candidates.min_by_key(|(_, c)| (c.in_flight.len(), c.last_used));
+        let max_connections = (self.limits.sockets / self.servers.len().max(1)).clamp(1, MAX_PER_SERVER);
+        if let Some((id, pooled)) = best
+            && (pooled.in_flight.is_empty()
+                || connections.len() >= max_connections
                 || self.connections.len() >= self.limits.sockets)
         {
             return Some(id);
@@ -89,28 +97,29 @@
         let id = self.next_connection;
         self.next_connection += 1;
         let connection = Rc::new(Connection::new(self.sockets.counts.clone()));
-        let (dial, sockets) = (self.limits.dial_timeout, self.sockets.clone());
-        let task = run(id, endpoint, dial, connection.clone(), sockets, self.inbox.clone(), self.clock);
-        let conn = PooledConnection {
+        let (dial_timeout, sockets) = (self.limits.dial_timeout, self.sockets.clone());
+        let task =
+            run(id, endpoint, dial_timeout, connection.clone(), sockets, self.inbox.clone(), self.clock);
+        let pooled = PooledConnection {
             server: server.clone(),
             connection,
             _task: self.executor.spawn(task),
-            out: Vec::new(),
-            given_up: VecDeque::new(),
-            begun: None,
-            heard: now,
-            used: now,
-            dialled: now,
-            awaited: true,
-            late: false,
+            in_flight: Vec::new(),
+            cancelled: VecDeque::new(),
+            partial_since: None,
+            last_received: now,
+            last_used: now,
+            dialled_at: now,
+            awaiting_dial: true,
+            dial_overdue: false,
             retiring: false,
         };
-        self.connections.add(id, conn);
+        self.connections.add(id, pooled);
         server.connections.borrow_mut().insert(id);
         Some(id)
     }
 
-    /// Connections to a server that have not come up yet.
+    /// Number of connections to a server that are still being dialled.
     fn dialling(&self, server: &Server) -> usize {
         let connections = server.connections.borrow();
         connections
@@ -119,51 +128,56 @@
             .count()
     }
 
-    /// Moves what waits for connections that are late to others of the same server. Nothing of it has been written.
-    pub(super) fn pass_late(&mut self, now: Micros) {
-        let Some(by) = now.checked_sub(self.limits.dial_timeout / LATE_DIAL) else { return };
+    /// Moves the calls queued on connections whose dialling is overdue to other connections of the same
+    /// server. Nothing of these calls has been written.
+    pub(super) fn reassign_overdue_dials(&mut self, now: Micros) {
+        let Some(by) = now.checked_sub(self.limits.dial_timeout / OVERDUE_DIAL_DIVISOR) else { return };
         for id in self.connections.dialled(by) {
-            let late = self.connections.change(id, |conn| {
-                conn.awaited = false;
-                conn.late = conn.connection.is_dialling();
-                conn.late.then(|| (conn.server.clone(), conn.connection.withdraw_calls()))
+            let overdue = self.connections.change(id, |pooled| {
+                pooled.awaiting_dial = false;
+                pooled.dial_overdue = pooled.connection.is_dialling();
+                pooled.dial_overdue.then(|| (pooled.server.clone(), pooled.connection.withdraw_calls()))
             });
-            let Some((server, calls)) = late.flatten() else { continue };
+            let Some((server, calls)) = overdue.flatten() else { continue };
             for parts in calls {
-                self.pass(now, id, &server, parts);
+                self.reassign_call(now, id, &server, parts);
             }
         }
     }
 
-    /// Moves one call from a connection, or leaves it there if there is no other.
-    fn pass(&mut self, now: Micros, from: u64, server: &Rc<Server>, mut parts: Vec<QueuedPart>) {
-        let most = self.dialling(server) >= DIALS;
-        let to = if most { None } else { self.connection_for(now, server, &parts) }.unwrap_or(from);
+    /// Moves one call to another connection, or leaves it on its connection if there is no other.
+    fn reassign_call(&mut self, now: Micros, from: u64, server: &Rc<Server>, mut parts: Vec<QueuedPart>) {
+        let too_many_dials = self.dialling(server) >= MAX_DIALS;
+        let to = if too_many_dials { None } else { self.connection_for(now, server, &parts) }.unwrap_or(from);
         for part in &mut parts {
             let attempt = part.attempt;
             self.connections.change(from, |c| c.remove(attempt));
-            self.connections.change(to, |c| c.out.push((part.id.clone(), attempt)));
+            self.connections.change(to, |c| c.in_flight.push((part.id.clone(), attempt)));
             if let Some(flight) = self.in_flight.get_mut(&attempt) {
-                flight.conn = to;
+                flight.connection = to;
                 part.wait_ms = (flight.deadline.saturating_sub(now) / MILLI).max(1);
             }
         }
-        // Its task writes it, and looks at the clients before: they were looked at when the turn began that sent this.
-        self.connections.change(to, |conn| {
-            conn.used = now;
-            conn.connection.put(WriteItem::Call(parts));
+        // The connection's task writes the call and checks first whether its clients still wait: they were
+        // last checked in the turn that dispatched it.
+        self.connections.change(to, |pooled| {
+            pooled.last_used = now;
+            pooled.connection.enqueue(WriteItem::Call(parts));
         });
     }
 
-    /// Whether a connection has gone silent, or stopped within an answer, as far as that shows: nothing has come on it
-    /// since what is out was sent, though the server answers on others.
-    pub(super) fn is_suspect(&self, now: Micros, conn: &PooledConnection) -> bool {
-        let halted = conn.begun.is_some_and(|at| now.saturating_sub(at) >= HALTED);
-        let oldest = conn.out.iter().filter_map(|(_, a)| Some(self.in_flight.get(a)?.sent)).min();
-        halted || oldest.is_some_and(|sent| conn.heard <= sent && conn.server.is_late(now, sent))
+    /// Whether a connection appears to have gone silent or to have stopped within an answer: nothing was
+    /// received on it since the oldest attempt in flight was sent, although the server answers on other
+    /// connections.
+    pub(super) fn is_suspect(&self, now: Micros, pooled: &PooledConnection) -> bool {
+        let stalled = pooled.partial_since.is_some_and(|at| now.saturating_sub(at) >= STALLED_AFTER);
+        let oldest = pooled.in_flight.iter().filter_map(|(_, a)| Some(self.in_flight.get(a)?.sent)).min();
+        stalled
+            || oldest.is_some_and(|sent| pooled.last_received <= sent && pooled.server.is_overdue(now, sent))
     }
 
-    /// Makes room by closing the connection that has been idle for longest. False: there is none.
+    /// Closes the connection that has been idle for longest to free its descriptor. Returns false if no
+    /// connection is idle.
     pub fn evict_idle(&mut self) -> bool {
         let Some(id) = self.connections.longest_idle() else { return false };
         self.close(id);
--- a/crates/broker/src/upstream/connection.rs
+++ b/crates/broker/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a data server: what waits to be written, what a turn writes at once, and what is read.
+//! One connection to a data server: its write queue, the writes that a turn makes itself, and reading.
 
 use super::sockets::{Counts, Sockets, count};
 use crate::inbox::{ConnectionEvent, Inbox, Input, Presence, refresh_presence};
@@ -16,30 +16,32 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One part, ready for its frame.
+/// One part with everything that its frame needs.
 pub(super) struct QueuedPart {
     pub(super) attempt: AttemptId,
     pub(super) id: PartId,
+    /// Time in milliseconds for which the answer is awaited, as the server is told.
     pub(super) wait_ms: u64,
-    /// Its frame's last byte is written before this moment, or the part is not sent.
+    /// The frame's last byte is written before this time, or the part is not sent.
     pub(super) write_deadline: Micros,
-    /// Its frame's first byte too is written before this one: nobody waits for the answer then.
+    /// The frame's first byte is written before this time too: after it the answer is no longer awaited.
     pub(super) deadline: Micros,
+    /// The idempotency key; `None` outside a keyed class.
     pub(super) key: Option<Rc<str>>,
     pub(super) text: Rc<str>,
     pub(super) client: Rc<Presence>,
 }
 
-/// What a connection is to write.
+/// One frame to write to a connection.
 pub(super) enum WriteItem {
-    /// One call.
+    /// A call with its parts.
     Call(Vec<QueuedPart>),
-    /// A part's giving up.
+    /// The cancellation of a part.
     Cancel(PartId),
 }
 
 impl WriteItem {
-    /// Its parts; a giving up has none.
+    /// The parts of a call; empty for a cancellation.
     fn parts(&self) -> &[QueuedPart] {
         match self {
             WriteItem::Call(parts) => parts,
@@ -51,12 +53,12 @@
         self.parts().iter().map(|p| p.attempt).collect()
     }
 
-    /// The moment by which its frame is to be out.
+    /// The earliest write deadline of the parts; `Micros::MAX` for a cancellation.
     fn write_deadline(&self) -> Micros {
         self.parts().iter().map(|p| p.write_deadline).min().unwrap_or(Micros::MAX)
     }
 
-    /// Appends its frame.
+    /// Appends the encoded frame to `out`.
     fn encode(&self, out: &mut Vec<u8>) {
         match self {
             WriteItem::Cancel(part) => frame::give_up_into(out, part),
@@ -74,51 +76,67 @@
     }
 }
 
-/// What waits to be written to one connection, and its socket once it is up.
+/// The write queue of one connection, and its socket once it is established.
 pub(super) struct Connection {
-    waiting: RefCell<VecDeque<WriteItem>>,
-    /// What the turn writes by itself before it ends.
+    /// Frames for the connection's task to write, in order.
+    queue: RefCell<VecDeque<WriteItem>>,
+    /// Frames that the turn writes itself before it ends.
     staged: RefCell<VecDeque<WriteItem>>,
-    /// The parts of the frame that is being written; a giving up has none.
+    /// The attempts in the frame that is being written; empty for a cancellation. `None` if no frame is being
+    /// written.
     writing: RefCell<Option<Vec<AttemptId>>>,
-    /// What the socket did not take of that from a turn.
-    rest: RefCell<Option<(Vec<u8>, Micros)>>,
-    /// Parts whose moment passed while they waited here.
-    late: RefCell<BTreeSet<AttemptId>>,
-    bell: (Sender<()>, Receiver<()>),
+    /// The bytes of that frame which the socket did not accept from a turn, and the frame's write deadline.
+    remainder: RefCell<Option<(Vec<u8>, Micros)>>,
+    /// Attempts whose write deadline passed while they were queued here.
+    expired: RefCell<BTreeSet<AttemptId>>,
+    wakeup: (Sender<()>, Receiver<()>),
     socket: RefCell<Option<Rc<Async<TcpStream>>>>,
-    /// When it came up; 0 until then.
-    up_at: Cell<Micros>,
-    /// A frame that has begun.
-    input: RefCell<Vec<u8>>,
-    /// Whether its task has asked for a frame, which it does once it is up.
-    asked: Cell<bool>,
+    /// When the connection was established; 0 before that.
+    connected_at: Cell<Micros>,
+    /// The received part of an incomplete frame.
+    partial_frame: RefCell<Vec<u8>>,
+    /// Whether the connection's task has asked for a frame, which it does once the connection is established.
+    writer_started: Cell<bool>,
     ended: Cell<bool>,
     counts: Rc<Counts>,
 }
 
 impl Connection {
     pub(super) fn new(counts: Rc<Counts>) -> Self {
-        let bell = async_channel::bounded(1);
-        let (waiting, staged, writing, rest, late) = Default::default();
-        let (socket, up_at, input, asked, ended) = Default::default();
-        Connection { waiting, staged, writing, rest, late, bell, socket, up_at, input, asked, ended, counts }
+        let wakeup = async_channel::bounded(1);
+        let (queue, staged, writing, remainder, expired) = Default::default();
+        let (socket, connected_at, partial_frame, writer_started, ended) = Default::default();
+        Connection {
+            queue,
+            staged,
+            writing,
+            remainder,
+            expired,
+            wakeup,
+            socket,
+            connected_at,
+            partial_frame,
+            writer_started,
+            ended,
+            counts,
+        }
     }
 
-    /// Takes something for its task to write.
-    pub(super) fn put(&self, item: WriteItem) {
-        self.waiting.borrow_mut().push_back(item);
-        self.ring();
+    /// Queues a frame for the connection's task to write.
+    pub(super) fn enqueue(&self, item: WriteItem) {
+        self.queue.borrow_mut().push_back(item);
+        self.wake_writer();
     }
 
-    fn ring(&self) {
-        let _ = self.bell.0.try_send(());
+    fn wake_writer(&self) {
+        let _ = self.wakeup.0.try_send(());
     }
 
-    /// Takes something for the turn itself to write, where nothing stands before it. True: a [`Connection::flush`] is owed.
+    /// Stages a frame for the turn itself to write, or queues it if another frame is to be written before it.
+    /// Returns true if the caller has to call [`Connection::flush`].
     pub(super) fn stage(&self, item: WriteItem) -> bool {
         if !self.is_free() {
-            self.put(item);
+            self.enqueue(item);
             return false;
         }
         let mut staged = self.staged.borrow_mut();
@@ -126,26 +144,26 @@
         staged.len() == 1
     }
 
-    /// Whether it is up and nothing waits for its socket.
+    /// Whether the connection is established and no frame is queued or being written.
     fn is_free(&self) -> bool {
-        let up = self.asked.get() && self.socket.borrow().is_some() && !self.ended.get();
-        up && self.waiting.borrow().is_empty() && !self.is_stuck()
+        let established = self.writer_started.get() && self.socket.borrow().is_some() && !self.ended.get();
+        established && self.queue.borrow().is_empty() && !self.is_write_blocked()
     }
 
-    /// Writes what is staged, in one write. What the socket does not take is left to the task. An error ends the connection;
-    /// what was not written whole by then is still here.
+    /// Writes the staged frames in one write. What the socket does not accept is left to the connection's
+    /// task. An error ends the connection; frames that were not written completely by then remain here.
     pub(super) fn flush(&self, clock: &Clock, out: &mut Vec<u8>) -> io::Result<()> {
         let socket = self.socket().filter(|_| self.is_free());
         let mut items = self.staged.borrow_mut();
         let Some(socket) = socket else {
-            self.waiting.borrow_mut().append(&mut items);
-            self.ring();
+            self.queue.borrow_mut().append(&mut items);
+            self.wake_writer();
             return Ok(());
         };
         let now = clock.now();
         items.retain_mut(|item| match item {
             WriteItem::Call(parts) => {
-                self.put_off_late(now, parts);
+                self.set_aside_expired(now, parts);
                 !parts.is_empty()
             }
             WriteItem::Cancel(_) => true,
@@ -155,7 +173,7 @@
         let mut sent = 0;
         let stopped = loop {
             if sent == out.len() {
-                items.drain(..).for_each(|item| self.forward(item.parts().len()));
+                items.drain(..).for_each(|item| self.count_forwarded(item.parts().len()));
                 return Ok(());
             }
             count(&self.counts.writes);
@@ -166,50 +184,51 @@
                 Err(error) => break error,
             }
         };
-        self.keep_rest(&mut items, sent);
+        self.keep_remainder(&mut items, sent);
         if stopped.kind() != io::ErrorKind::WouldBlock {
             return Err(stopped);
         }
-        self.ring();
+        self.wake_writer();
         Ok(())
     }
 
-    /// Of these items the first so many bytes are written: the rest is left to the task.
-    fn keep_rest(&self, items: &mut VecDeque<WriteItem>, mut sent: usize) {
+    /// Leaves what follows the first `sent` bytes of these frames to the connection's task.
+    fn keep_remainder(&self, items: &mut VecDeque<WriteItem>, mut sent: usize) {
         while let Some(item) = items.pop_front() {
             let mut frame = Vec::new();
             item.encode(&mut frame);
             if sent >= frame.len() {
                 sent -= frame.len();
-                self.forward(item.parts().len());
+                self.count_forwarded(item.parts().len());
                 continue;
             }
             if sent == 0 {
                 items.push_front(item);
             } else {
                 *self.writing.borrow_mut() = Some(item.attempts());
-                *self.rest.borrow_mut() = Some((frame.split_off(sent), item.write_deadline()));
+                *self.remainder.borrow_mut() = Some((frame.split_off(sent), item.write_deadline()));
             }
             break;
         }
-        self.waiting.borrow_mut().append(items);
+        self.queue.borrow_mut().append(items);
     }
 
-    /// Sets those parts aside whose moment has passed.
-    fn put_off_late(&self, now: Micros, parts: &mut Vec<QueuedPart>) {
-        let late = parts.extract_if(.., |p| now >= p.write_deadline.min(p.deadline)).map(|p| p.attempt);
-        self.late.borrow_mut().extend(late);
+    /// Moves the parts whose write deadline or deadline has passed to the expired ones.
+    fn set_aside_expired(&self, now: Micros, parts: &mut Vec<QueuedPart>) {
+        let expired = parts.extract_if(.., |p| now >= p.write_deadline.min(p.deadline)).map(|p| p.attempt);
+        self.expired.borrow_mut().extend(expired);
     }
 
-    fn forward(&self, parts: usize) {
+    fn count_forwarded(&self, parts: usize) {
         self.counts.forwards.set(self.counts.forwards.get() + parts as u64);
     }
 
-    /// Reads what the socket has, once, and tells what that is. The connection's end, if it has come to that.
+    /// Reads from the socket once and passes what was received to `notify`. Returns the event that ends the
+    /// connection, if it has ended.
     pub(super) fn read(
         &self,
         chunk: &mut [u8],
-        mut tell: impl FnMut(ConnectionEvent),
+        mut notify: impl FnMut(ConnectionEvent),
     ) -> Option<ConnectionEvent> {
         let socket = self.socket()?;
         let n = loop {
@@ -221,201 +240,204 @@
                 Err(error) => return Some(ConnectionEvent::Closed(error)),
             }
         };
-        let mut begun = self.input.borrow_mut();
-        let whole = begun.is_empty();
-        if !whole {
-            begun.extend_from_slice(&chunk[..n]);
+        let mut partial = self.partial_frame.borrow_mut();
+        let starts_frame = partial.is_empty();
+        if !starts_frame {
+            partial.extend_from_slice(&chunk[..n]);
         }
-        let input = if whole { &chunk[..n] } else { &begun[..] };
+        let input = if starts_frame { &chunk[..n] } else { &partial[..] };
         let mut used = 0;
         loop {
             match frame::decode(&input[used..]) {
                 Ok(None) => break,
                 Ok(Some((message, length))) => {
                     used += length;
-                    tell(ConnectionEvent::Frame(message));
+                    notify(ConnectionEvent::Frame(message));
                 }
                 Err(bad) => return Some(ConnectionEvent::BadFrame(bad)),
             }
         }
         if used < input.len() {
-            tell(ConnectionEvent::PartialFrame);
+            notify(ConnectionEvent::PartialFrame);
         }
-        if whole {
-            begun.extend_from_slice(&chunk[used..n]);
+        if starts_frame {
+            partial.extend_from_slice(&chunk[used..n]);
         } else {
-            begun.drain(..used);
+            partial.drain(..used);
         }
         // An idle connection keeps no buffer.
-        if begun.is_empty() {
-            *begun = Vec::new();
+        if partial.is_empty() {
+            *partial = Vec::new();
         }
         None
     }
 
-    /// Takes back a part of which no byte is written. False if it is too late.
+    /// Removes a part of which no byte was written. Returns false if it is too late.
     pub(super) fn withdraw(&self, attempt: AttemptId) -> bool {
-        let mut taken = self.late.borrow_mut().remove(&attempt);
-        self.waiting.borrow_mut().retain_mut(|item| match item {
+        let mut withdrawn = self.expired.borrow_mut().remove(&attempt);
+        self.queue.borrow_mut().retain_mut(|item| match item {
             WriteItem::Call(parts) => {
                 let before = parts.len();
                 parts.retain(|p| p.attempt != attempt);
-                taken |= parts.len() < before;
+                withdrawn |= parts.len() < before;
                 !parts.is_empty()
             }
             WriteItem::Cancel(_) => true,
         });
-        taken
+        withdrawn
     }
 
-    /// Takes back all parts of which no byte is written.
+    /// Removes and returns all parts of which no byte was written.
     pub(super) fn withdraw_all(&self) -> Vec<AttemptId> {
-        let mut taken: Vec<AttemptId> = self.late.take().into_iter().collect();
-        taken.extend(self.withdraw_calls().into_iter().flatten().map(|p| p.attempt));
-        taken
+        let mut withdrawn: Vec<AttemptId> = self.expired.take().into_iter().collect();
+        withdrawn.extend(self.withdraw_calls().into_iter().flatten().map(|p| p.attempt));
+        withdrawn
     }
 
-    /// Takes back all calls of which no byte is written.
+    /// Removes and returns all calls of which no byte was written.
     pub(super) fn withdraw_calls(&self) -> Vec<Vec<QueuedPart>> {
-        let mut taken = Vec::new();
-        self.waiting.borrow_mut().retain_mut(|item| match item {
+        let mut withdrawn = Vec::new();
+        self.queue.borrow_mut().retain_mut(|item| match item {
             WriteItem::Call(parts) => {
-                taken.push(std::mem::take(parts));
+                withdrawn.push(std::mem::take(parts));
                 false
             }
             WriteItem::Cancel(_) => true,
         });
-        taken
+        withdrawn
     }
 
-    /// The parts whose frame's last byte is not written.
+    /// The attempts whose frame was not written to its last byte.
     pub(super) fn unwritten(&self) -> BTreeSet<AttemptId> {
-        let waiting = self.waiting.borrow();
+        let queue = self.queue.borrow();
         let staged = self.staged.borrow();
-        let parts = waiting.iter().chain(&*staged).flat_map(WriteItem::parts).map(|p| &p.attempt);
-        let (writing, late) = (self.writing.borrow(), self.late.borrow());
-        parts.chain(writing.iter().flatten()).chain(&*late).copied().collect()
+        let parts = queue.iter().chain(&*staged).flat_map(WriteItem::parts).map(|p| &p.attempt);
+        let (writing, expired) = (self.writing.borrow(), self.expired.borrow());
+        parts.chain(writing.iter().flatten()).chain(&*expired).copied().collect()
     }
 
-    /// The parts whose moment passed while they waited here.
-    pub(super) fn late(&self) -> Vec<AttemptId> {
-        self.late.borrow().iter().copied().collect()
+    /// The attempts whose write deadline passed while they were queued here.
+    pub(super) fn expired(&self) -> Vec<AttemptId> {
+        self.expired.borrow().iter().copied().collect()
     }
 
-    /// Whether some of these have not been told of.
-    pub(super) fn has_late(&self) -> bool {
-        !self.late.borrow().is_empty()
+    /// Whether there are expired attempts that the pool has not removed yet.
+    pub(super) fn has_expired(&self) -> bool {
+        !self.expired.borrow().is_empty()
     }
 
-    /// Its socket, once it is up.
+    /// The socket; `None` until the connection is established.
     pub(super) fn socket(&self) -> Option<Rc<Async<TcpStream>>> {
         self.socket.borrow().clone()
     }
 
-    /// Ends its connection at once: its task, which holds the socket too, is dropped only when the executor comes to it.
-    pub(super) fn shut(&self) {
+    /// Shuts the socket down at once. The connection's task holds the socket too and is dropped only when the
+    /// executor next runs it.
+    pub(super) fn shutdown(&self) {
         if let Some(socket) = self.socket.take() {
-            // A connection that its server has ended needs no end.
+            // The server may have closed the connection already.
             let _ = socket.get_ref().shutdown(Shutdown::Both);
         }
     }
 
-    /// Notes when the connection came up.
-    pub(super) fn came_up(&self, now: Micros) {
-        self.up_at.set(now);
+    /// Records when the connection was established.
+    pub(super) fn set_connected(&self, now: Micros) {
+        self.connected_at.set(now);
     }
 
-    /// When the connection came up; 0 if it has not.
-    pub(super) fn up_at(&self) -> Micros {
-        self.up_at.get()
+    /// When the connection was established; 0 if it was not.
+    pub(super) fn connected_at(&self) -> Micros {
+        self.connected_at.get()
     }
 
-    /// Whether the connection had come up.
-    pub(super) fn was_up(&self) -> bool {
+    /// Whether the connection had been established.
+    pub(super) fn was_connected(&self) -> bool {
         self.socket.borrow().is_some()
     }
 
-    /// Whether it has ended, or is spoilt.
+    /// Whether the connection has ended or received a frame that cannot be decoded.
     pub(super) fn has_ended(&self) -> bool {
         self.ended.get()
     }
 
-    /// It has ended. True: that was not known.
+    /// Marks the connection as ended. Returns true if it was not marked before.
     pub(super) fn set_ended(&self) -> bool {
         !self.ended.replace(true)
     }
 
-    /// Whether it has not come up yet.
+    /// Whether the connection is not established yet.
     pub(super) fn is_dialling(&self) -> bool {
-        !self.asked.get()
+        !self.writer_started.get()
     }
 
-    /// Whether a frame is being written that the socket does not take: between turns the task has had its time.
-    pub(super) fn is_stuck(&self) -> bool {
+    /// Whether the socket does not accept the frame that is being written. The task runs between turns, so a
+    /// frame that is still being written during a turn is blocked.
+    pub(super) fn is_write_blocked(&self) -> bool {
         self.writing.borrow().is_some()
     }
 
-    /// The frame that was being written is out.
-    pub(super) fn written(&self) {
+    /// Records that the frame was written completely.
+    pub(super) fn frame_written(&self) {
         let parts = self.writing.borrow_mut().take().map_or(0, |parts| parts.len());
-        self.forward(parts);
+        self.count_forwarded(parts);
     }
 
-    /// The clients of the next call.
-    fn clients(&self) -> Vec<Rc<Presence>> {
-        let waiting = self.waiting.borrow();
+    /// The waiting clients of the next frame that has any; empty if a cancellation comes first.
+    fn next_clients(&self) -> Vec<Rc<Presence>> {
+        let queue = self.queue.borrow();
         let clients = |item: &WriteItem| match item {
             WriteItem::Call(parts) => {
-                let here = parts.iter().map(|p| &p.client).filter(|client| client.is_waiting());
-                Some(here.cloned().collect::<Vec<_>>()).filter(|clients| !clients.is_empty())
+                let waiting = parts.iter().map(|p| &p.client).filter(|client| client.is_waiting());
+                Some(waiting.cloned().collect::<Vec<_>>()).filter(|clients| !clients.is_empty())
             }
             WriteItem::Cancel(_) => Some(Vec::new()),
         };
-        waiting.iter().find_map(clients).unwrap_or_default()
+        queue.iter().find_map(clients).unwrap_or_default()
     }
 
-    /// What is to be written next. Parts for which nobody waits any more stay, for the pool to take back.
-    fn take(&self) -> Option<WriteItem> {
-        let mut waiting = self.waiting.borrow_mut();
-        let next = waiting.iter().position(|item| match item {
+    /// Removes and returns the next frame to write. Parts whose clients no longer wait stay queued until the
+    /// pool withdraws them.
+    fn take_next(&self) -> Option<WriteItem> {
+        let mut queue = self.queue.borrow_mut();
+        let next = queue.iter().position(|item| match item {
             WriteItem::Call(parts) => parts.iter().any(|p| p.client.is_waiting()),
             WriteItem::Cancel(_) => true,
         })?;
-        let item = waiting.remove(next)?;
+        let item = queue.remove(next)?;
         let WriteItem::Call(parts) = item else { return Some(item) };
-        let (here, gone): (Vec<_>, Vec<_>) = parts.into_iter().partition(|p| p.client.is_waiting());
+        let (waiting, gone): (Vec<_>, Vec<_>) = parts.into_iter().partition(|p| p.client.is_waiting());
         if !gone.is_empty() {
-            waiting.insert(next, WriteItem::Call(gone));
+            queue.insert(next, WriteItem::Call(gone));
         }
-        Some(WriteItem::Call(here))
+        Some(WriteItem::Call(waiting))
     }
 
-    /// The next frame to write, and the moment by which it is to be out. Of what waits here nothing is written whose moment
-    /// has passed: a connection may come up late, and a repeat that data servers no longer drop would take effect twice.
-    /// `None`: that was all.
-    pub(super) async fn next(&self, clock: &Clock) -> Option<(Vec<u8>, Micros)> {
-        self.asked.set(true);
-        // What is here by now waited for the connection, or for the frame before it: clients may have gone meanwhile, and
-        // their tasks, which run on this thread too, may not have had their turn.
+    /// Waits for the next frame to write and returns it with its write deadline; `None` if all parts of the
+    /// next call have expired. Parts whose write deadline has passed are not written: a connection may be
+    /// established late, and a repeat that data servers no longer drop would take effect twice.
+    pub(super) async fn next_frame(&self, clock: &Clock) -> Option<(Vec<u8>, Micros)> {
+        self.writer_started.set(true);
+        // Frames queued by now waited for the connection or for the previous frame. Their clients may have
+        // gone meanwhile, and the clients' tasks, which run on this thread too, may not have run since.
         let mut waited = true;
-        let mut seen: Vec<Rc<Presence>> = Vec::new();
+        let mut checked: Vec<Rc<Presence>> = Vec::new();
         loop {
-            if let Some(rest) = self.rest.take() {
-                return Some(rest);
+            if let Some(remainder) = self.remainder.take() {
+                return Some(remainder);
             }
-            let clients = self.clients();
-            if waited && !clients.iter().all(|c| seen.iter().any(|s| Rc::ptr_eq(c, s))) {
+            let clients = self.next_clients();
+            if waited && !clients.iter().all(|c| checked.iter().any(|s| Rc::ptr_eq(c, s))) {
                 refresh_presence(&clients).await;
-                seen = clients;
+                checked = clients;
                 continue;
             }
-            let Some(mut item) = self.take() else {
-                let _ = self.bell.1.recv().await;
+            let Some(mut item) = self.take_next() else {
+                let _ = self.wakeup.1.recv().await;
                 waited = false;
                 continue;
             };
             if let WriteItem::Call(parts) = &mut item {
-                self.put_off_late(clock.now(), parts);
+                self.set_aside_expired(clock.now(), parts);
                 if parts.is_empty() {
                     return None;
                 }
@@ -428,24 +450,27 @@
     }
 }
 
-/// Dials, then writes what its turns don't, until that fails. Reading is for [`Sockets`].
+/// Dials the server, then writes the queued frames until a write fails. [`Sockets`] reads from the
+/// connection.
 pub(super) async fn run(
     id: u64,
     endpoint: SocketAddr,
-    dial: Micros,
+    dial_timeout: Micros,
     connection: Rc<Connection>,
     sockets: Rc<Sockets>,
     inbox: Rc<Inbox>,
     clock: Clock,
 ) {
-    let error = match limited(Duration::from_micros(dial), Async::<TcpStream>::connect(endpoint)).await {
+    let error = match limited(Duration::from_micros(dial_timeout), Async::<TcpStream>::connect(endpoint))
+        .await
+    {
         Ok(stream) => {
             let stream = Rc::new(stream);
             *connection.socket.borrow_mut() = Some(stream.clone());
-            connection.came_up(clock.now());
-            let up = stream.get_ref().set_nodelay(true).and_then(|()| sockets.add(id, &connection));
-            match up {
-                Ok(()) => write(&stream, id, &connection, &sockets, &inbox, &clock).await,
+            connection.set_connected(clock.now());
+            let registered = stream.get_ref().set_nodelay(true).and_then(|()| sockets.add(id, &connection));
+            match registered {
+                Ok(()) => write_loop(&stream, id, &connection, &sockets, &inbox, &clock).await,
                 Err(error) => error,
             }
         }
@@ -454,8 +479,8 @@
     sockets.end(id, &connection, ConnectionEvent::Closed(error));
 }
 
-/// Writes until that fails.
-async fn write(
+/// Writes queued frames until a write fails.
+async fn write_loop(
     stream: &Async<TcpStream>,
     id: u64,
     connection: &Connection,
@@ -464,12 +489,12 @@
     clock: &Clock,
 ) -> io::Error {
     loop {
-        let next = connection.next(clock).await;
-        if connection.has_late() {
+        let next = connection.next_frame(clock).await;
+        if connection.has_expired() {
             inbox.put(Input::Connection(id, ConnectionEvent::Expired));
         }
         let Some((frame, write_deadline)) = next else { continue };
-        // What has come is read before anything is written, as in a turn's flush.
+        // What was received is read before anything is written, as in a turn's flush.
         sockets.read(id, connection);
         if connection.has_ended() {
             return pending().await;
@@ -477,11 +502,12 @@
         if let Err(error) = write_before(stream, &frame, write_deadline, clock).await {
             return error;
         }
-        connection.written();
+        connection.frame_written();
     }
 }
 
-/// Writes a frame. Once its moment has passed its end must not go out, and so nothing else on this connection.
+/// Writes a frame. After the write deadline its last byte must not be written, and so nothing else on this
+/// connection either.
 pub(super) async fn write_before(
     stream: &Async<TcpStream>,
     mut frame: &[u8],
--- a/crates/broker/src/upstream/connection_table.rs
+++ b/crates/broker/src/upstream/connection_table.rs
@@ -1,7 +1,7 @@
-//! The connections to all data servers, and what is due among them, by its time.
+//! The connections to all data servers, indexed by the times at which they need attention.
 //!
-//! A broker may hold ten thousand connections and take two hundred turns a second: a turn looks at those alone that are
-//! due or were heard.
+//! A broker may hold ten thousand connections and run two hundred turns a second. A turn therefore visits
+//! only the connections that are due or on which something was received.
 
 use super::connection::Connection;
 use async_executor::Task;
@@ -15,116 +15,129 @@
 use std::ops::Deref;
 use std::rc::Rc;
 
-/// So many times what answers take of late make one that has not come late, and at the least so long: one connection of
-/// a server may fall silent while the others go on, and what is sent on it is lost until that shows.
-const LATE: Micros = 4;
-const LATE_LEAST: Micros = 20 * MILLI;
-/// Weight of one answer in how long answers take.
-const NEWS: (Micros, Micros) = (1, 8);
+/// An answer is overdue after this multiple of the server's recent answer time, and not before
+/// [`MIN_OVERDUE`]. One connection of a server may fall silent while the others continue, and what is sent on
+/// it is lost until that is detected.
+const OVERDUE_FACTOR: Micros = 4;
+const MIN_OVERDUE: Micros = 20 * MILLI;
+/// Weight of one answer in the moving average of answer times, as a fraction.
+const ANSWER_WEIGHT: (Micros, Micros) = (1, 8);
 
-/// A data server, as its connections know it.
+/// The state that all connections to one data server share.
 pub(super) struct Server {
     pub(super) name: NodeId,
+    /// `None` if the server is not to receive anything new.
     pub(super) endpoint: Cell<Option<SocketAddr>>,
+    /// Ids of the open connections.
     pub(super) connections: RefCell<BTreeSet<u64>>,
-    /// How long answers take of late; 0: none has come.
-    pub(super) usual: Cell<Micros>,
-    /// When the newest attempt was sent that was answered.
-    pub(super) answered: Cell<Micros>,
+    /// Moving average of answer times; 0 before the first answer.
+    pub(super) recent_answer_time: Cell<Micros>,
+    /// Time at which the most recently sent of the answered attempts was sent.
+    pub(super) newest_answered: Cell<Micros>,
 }
 
 impl Server {
     pub(super) fn new(name: NodeId) -> Self {
-        let (endpoint, connections, usual, answered) = Default::default();
-        Server { name, endpoint, connections, usual, answered }
+        let (endpoint, connections, recent_answer_time, newest_answered) = Default::default();
+        Server { name, endpoint, connections, recent_answer_time, newest_answered }
     }
 
-    /// An attempt that was sent then is answered.
-    pub(super) fn hear(&self, sent: Micros, elapsed: Micros) {
-        self.answered.set(self.answered.get().max(sent));
-        let (of, all) = NEWS;
-        let usual = self.usual.get();
-        self.usual.set(if usual == 0 { elapsed } else { (usual * (all - of) + elapsed * of) / all });
+    /// Records the answer to an attempt that was sent at `sent`.
+    pub(super) fn record_answer(&self, sent: Micros, elapsed: Micros) {
+        self.newest_answered.set(self.newest_answered.get().max(sent));
+        let (of, all) = ANSWER_WEIGHT;
+        let recent = self.recent_answer_time.get();
+        self.recent_answer_time.set(if recent == 0 {
+            elapsed
+        } else {
+            (recent * (all - of) + elapsed * of) / all
+        });
     }
 
-    /// Whether what was sent then should long be answered: later ones were.
-    pub(super) fn is_late(&self, now: Micros, sent: Micros) -> bool {
-        self.answered.get() > sent && now.saturating_sub(sent) >= (LATE * self.usual.get()).max(LATE_LEAST)
+    /// Whether an attempt that was sent at `sent` should have been answered long ago, as later ones have
+    /// been.
+    pub(super) fn is_overdue(&self, now: Micros, sent: Micros) -> bool {
+        self.newest_answered.get() > sent
+            && now.saturating_sub(sent) >= (OVERDUE_FACTOR * self.recent_answer_time.get()).max(MIN_OVERDUE)
     }
 }
 
-/// A connection, from its dialling on.
+/// A connection in the pool, from the start of its dialling to its close.
 pub(super) struct PooledConnection {
     pub(super) server: Rc<Server>,
     pub(super) connection: Rc<Connection>,
-    /// Runs the socket. Dropping it closes the socket.
+    /// Runs the socket. Dropping the task closes the socket.
     pub(super) _task: Task<()>,
-    /// What is out here, the oldest first: few, and looked for by their ids on the wire.
-    pub(super) out: Vec<(PartId, AttemptId)>,
-    /// What was given up after it was written, the newest last: it may still be answered.
-    pub(super) given_up: VecDeque<PartId>,
-    /// When a frame that is not all there last grew.
-    pub(super) begun: Option<Micros>,
-    pub(super) heard: Micros,
-    pub(super) used: Micros,
-    pub(super) dialled: Micros,
-    /// Whether it is waited for, as far as was seen: it is neither up nor late.
-    pub(super) awaited: bool,
-    /// It was late, and what waited for it has gone by another where that could be.
-    pub(super) late: bool,
-    /// It takes nothing new and closes once nothing is out on it.
+    /// Attempts in flight, the oldest first. They are few, and are looked up by their ids on the wire.
+    pub(super) in_flight: Vec<(PartId, AttemptId)>,
+    /// Parts that were cancelled after they had been written, the newest last. They may still be answered.
+    pub(super) cancelled: VecDeque<PartId>,
+    /// When an incomplete frame last grew; `None` if no frame is incomplete.
+    pub(super) partial_since: Option<Micros>,
+    /// When something was last received.
+    pub(super) last_received: Micros,
+    /// When an attempt was last sent or ended.
+    pub(super) last_used: Micros,
+    /// When dialling started.
+    pub(super) dialled_at: Micros,
+    /// Whether the connection was neither established nor overdue when it was last checked.
+    pub(super) awaiting_dial: bool,
+    /// Whether dialling took too long. The calls queued here were then moved to other connections where
+    /// possible.
+    pub(super) dial_overdue: bool,
+    /// Whether the connection accepts no new calls and closes once nothing is in flight.
     pub(super) retiring: bool,
 }
 
 impl PooledConnection {
-    /// The attempt at this part that is out here.
-    pub(super) fn attempt(&self, part: &PartId) -> Option<AttemptId> {
-        self.out.iter().find(|(id, _)| id == part).map(|(_, attempt)| *attempt)
+    /// The attempt at this part that is in flight here.
+    pub(super) fn attempt_for(&self, part: &PartId) -> Option<AttemptId> {
+        self.in_flight.iter().find(|(id, _)| id == part).map(|(_, attempt)| *attempt)
     }
 
-    /// The attempt that an answer of this id is for.
-    pub(super) fn answered(&self, id: &str) -> Option<AttemptId> {
-        self.out.iter().find(|(part, _)| part.is(id)).map(|(_, attempt)| *attempt)
+    /// The attempt in flight that an answer with this wire id belongs to.
+    pub(super) fn attempt_answered_by(&self, id: &str) -> Option<AttemptId> {
+        self.in_flight.iter().find(|(part, _)| part.is(id)).map(|(_, attempt)| *attempt)
     }
 
-    /// An attempt is no longer out here.
+    /// Removes an attempt from those in flight.
     pub(super) fn remove(&mut self, attempt: AttemptId) {
-        self.out.retain(|(_, other)| *other != attempt);
+        self.in_flight.retain(|(_, other)| *other != attempt);
     }
 
-    fn due(&self) -> Due {
-        let idle = self.out.is_empty();
-        Due {
-            idle: idle.then_some(self.used),
+    fn index_keys(&self) -> IndexKeys {
+        let idle = self.in_flight.is_empty();
+        IndexKeys {
+            idle: idle.then_some(self.last_used),
             done: idle && self.retiring,
-            begun: self.begun,
-            dial: self.awaited.then_some(self.dialled),
+            partial: self.partial_since,
+            dial: self.awaiting_dial.then_some(self.dialled_at),
         }
     }
 }
 
-/// Where a connection stands among those that are due.
+/// The keys of one connection in the indices of [`ConnectionTable`]; `None` if it is not in that index.
 #[derive(Clone, Copy, Default, PartialEq)]
-struct Due {
+struct IndexKeys {
     idle: Option<Micros>,
     done: bool,
-    begun: Option<Micros>,
+    partial: Option<Micros>,
     dial: Option<Micros>,
 }
 
-/// All connections. Each is changed through [`ConnectionTable::change`], which keeps the indices.
+/// All connections by id. Changes go through [`ConnectionTable::change`], which keeps the indices up to date.
 #[derive(Default)]
 pub(super) struct ConnectionTable {
     all: BTreeMap<u64, PooledConnection>,
-    /// Those on which nothing is out, by when they were last used.
+    /// Connections with nothing in flight, by the time of their last use.
     idle: BTreeSet<(Micros, u64)>,
-    /// Those of them that retire.
+    /// Idle connections that are retiring.
     done: BTreeSet<u64>,
-    /// Those on which a frame has begun, by when it last grew.
-    begun: BTreeSet<(Micros, u64)>,
-    /// Those that are waited for, by when they were dialled.
+    /// Connections with an incomplete frame, by the time at which it last grew.
+    partial: BTreeSet<(Micros, u64)>,
+    /// Connections that are awaited, by the time at which they were dialled.
     dials: BTreeSet<(Micros, u64)>,
-    /// So many were looked at in search of what is due, since the start.
+    /// Number of connections visited since the start in search of those that are due.
     visits: Cell<u64>,
 }
 
@@ -144,12 +157,12 @@
 }
 
 impl ConnectionTable {
-    fn index(&mut self, id: u64, old: Due, new: Due) {
+    fn reindex(&mut self, id: u64, old: IndexKeys, new: IndexKeys) {
         if old == new {
             return;
         }
         replace(&mut self.idle, id, old.idle, new.idle);
-        replace(&mut self.begun, id, old.begun, new.begun);
+        replace(&mut self.partial, id, old.partial, new.partial);
         replace(&mut self.dials, id, old.dial, new.dial);
         if new.done {
             self.done.insert(id);
@@ -158,76 +171,76 @@
         }
     }
 
-    /// Takes a connection.
-    pub(super) fn add(&mut self, id: u64, conn: PooledConnection) {
-        let due = conn.due();
-        self.all.insert(id, conn);
-        self.index(id, Due::default(), due);
+    /// Adds a connection.
+    pub(super) fn add(&mut self, id: u64, pooled: PooledConnection) {
+        let keys = pooled.index_keys();
+        self.all.insert(id, pooled);
+        self.reindex(id, IndexKeys::default(), keys);
     }
 
-    /// Gives one up.
+    /// Removes a connection and returns it.
     pub(super) fn remove(&mut self, id: u64) -> Option<PooledConnection> {
-        let conn = self.all.remove(&id)?;
-        self.index(id, conn.due(), Due::default());
-        Some(conn)
+        let pooled = self.all.remove(&id)?;
+        self.reindex(id, pooled.index_keys(), IndexKeys::default());
+        Some(pooled)
     }
 
-    /// Changes one. `None`: there is none.
+    /// Changes a connection and returns the result of `change`; `None` if there is no such connection.
     pub(super) fn change<T>(
         &mut self,
         id: u64,
         change: impl FnOnce(&mut PooledConnection) -> T,
     ) -> Option<T> {
-        let conn = self.all.get_mut(&id)?;
-        let old = conn.due();
-        let result = change(conn);
-        let new = conn.due();
-        self.index(id, old, new);
+        let pooled = self.all.get_mut(&id)?;
+        let old = pooled.index_keys();
+        let result = change(pooled);
+        let new = pooled.index_keys();
+        self.reindex(id, old, new);
         Some(result)
     }
 
-    /// Connections on which nothing is out.
+    /// Number of connections with nothing in flight.
     pub(super) fn idle(&self) -> usize {
         self.idle.len()
     }
 
-    /// That which has been idle for longest.
+    /// The connection that has been idle for longest.
     pub(super) fn longest_idle(&self) -> Option<u64> {
         self.idle.first().map(|(_, id)| *id)
     }
 
-    /// Those that are idle since that moment or longer.
+    /// Connections that have been idle since `since` or longer.
     pub(super) fn idle_since(&self, since: Micros) -> BTreeSet<u64> {
-        self.seen(self.idle.range(..=(since, u64::MAX)).map(|(_, id)| *id).collect())
+        self.visited(self.idle.range(..=(since, u64::MAX)).map(|(_, id)| *id).collect())
     }
 
-    /// Those that are retired and done with.
+    /// Retiring connections with nothing in flight.
     pub(super) fn done(&self) -> BTreeSet<u64> {
-        self.seen(self.done.clone())
+        self.visited(self.done.clone())
     }
 
-    /// Those whose frame has not grown since that moment.
+    /// Connections whose incomplete frame has not grown since `since`.
     pub(super) fn stalled(&self, since: Micros) -> BTreeSet<u64> {
-        self.seen(self.begun.range(..=(since, u64::MAX)).map(|(_, id)| *id).collect())
+        self.visited(self.partial.range(..=(since, u64::MAX)).map(|(_, id)| *id).collect())
     }
 
-    /// Those that were dialled at that moment or before and are not known to have come up.
+    /// Connections that were dialled at `by` or before and are not known to be established.
     pub(super) fn dialled(&self, by: Micros) -> BTreeSet<u64> {
-        self.seen(self.dials.range(..=(by, u64::MAX)).map(|(_, id)| *id).collect())
+        self.visited(self.dials.range(..=(by, u64::MAX)).map(|(_, id)| *id).collect())
     }
 
-    fn seen(&self, ids: BTreeSet<u64>) -> BTreeSet<u64> {
+    fn visited(&self, ids: BTreeSet<u64>) -> BTreeSet<u64> {
         self.visits.set(self.visits.get() + ids.len() as u64);
         ids
     }
 
-    /// When the frame last grew that has not for longest.
-    pub(super) fn first_begun(&self) -> Option<Micros> {
-        self.begun.first().map(|(at, _)| *at)
+    /// When the incomplete frame that has not grown for longest last grew.
+    pub(super) fn first_partial(&self) -> Option<Micros> {
+        self.partial.first().map(|(at, _)| *at)
     }
 
-    /// When the first of those was dialled that are not up.
-    pub(super) fn first_dialled(&self) -> Option<Micros> {
+    /// When the first of the connections that are not established was dialled.
+    pub(super) fn first_dialling(&self) -> Option<Micros> {
         let dialling = |id: &u64| {
             self.visits.set(self.visits.get() + 1);
             self.all.get(id).is_some_and(|c| c.connection.is_dialling())
@@ -235,7 +248,7 @@
         self.dials.iter().find(|(_, id)| dialling(id)).map(|(at, _)| *at)
     }
 
-    /// So many were looked at in search of what is due, since the start.
+    /// Number of connections visited since the start in search of those that are due.
     #[cfg(test)]
     pub(super) fn visits(&self) -> u64 {
         self.visits.get()
--- a/crates/broker/src/upstream/endings.rs
+++ b/crates/broker/src/upstream/endings.rs
@@ -1,7 +1,7 @@
 //! How attempts and connections end.
 
 use super::connection::WriteItem;
-use super::{EndedAttempt, HALTED, InFlight, Upstream};
+use super::{EndedAttempt, InFlight, STALLED_AFTER, Upstream};
 use crate::inbox::ConnectionEvent;
 use plover_frames::FromServer;
 use plover_model::query::{AttemptId, QueryId};
@@ -9,67 +9,71 @@
 use plover_model::time::Micros;
 use tracing::warn;
 
-/// An attempt given up in so many dial time-outs without a word on its connection makes that suspect: a cut
-/// link leaves connections open and silent, and TCP does not notice.
-const SILENT_DIALS: Micros = 2;
+/// A connection is suspect if an attempt is abandoned on it after this number of dial time-outs and nothing
+/// was received since the attempt was sent. A cut link leaves connections open and silent, and TCP does not
+/// notice.
+const SILENT_DIAL_TIMEOUTS: Micros = 2;
 
 impl Upstream {
-    /// Stops waiting for an attempt that was called off.
+    /// Stops waiting for an attempt that was cancelled.
     pub fn cancel(&mut self, now: Micros, attempt: AttemptId) {
         self.abandon(now, attempt, Outcome::Cancelled);
     }
 
-    /// A query has ended: what has not begun to be written for it is not sent, whether or not the decisions may call it off.
+    /// Ends the unsent attempts of a query that has ended. An attempt of which no byte was written is not
+    /// sent, whether or not the settings let the decision module cancel attempts.
     pub fn withdraw_query(&mut self, now: Micros, query: QueryId) {
         let first = AttemptId { query, part: 0, attempt: 0 };
-        let of_it = self.in_flight.range(first..).take_while(|(attempt, _)| attempt.query == query);
-        let of_it: Vec<(AttemptId, u64)> = of_it.map(|(attempt, f)| (*attempt, f.conn)).collect();
-        for (attempt, conn) in of_it {
-            if self.connections.get(&conn).is_some_and(|c| c.connection.withdraw(attempt)) {
-                self.end(now, attempt, Outcome::NotSent, None, None);
+        let of_query = self.in_flight.range(first..).take_while(|(attempt, _)| attempt.query == query);
+        let of_query: Vec<(AttemptId, u64)> = of_query.map(|(attempt, f)| (*attempt, f.connection)).collect();
+        for (attempt, connection) in of_query {
+            if self.connections.get(&connection).is_some_and(|c| c.connection.withdraw(attempt)) {
+                self.end_attempt(now, attempt, Outcome::NotSent, None, None);
             }
         }
     }
 
+    /// Ends an attempt that was cancelled or timed out, and tells its server if a byte of it was written.
     pub(super) fn abandon(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
         let Some(flight) = self.in_flight.get(&attempt) else { return };
-        let (id, sent) = (flight.conn, flight.sent);
+        let (id, sent) = (flight.connection, flight.sent);
         let unsent = self.connections.get(&id).is_some_and(|c| c.connection.withdraw(attempt));
-        let (most, dial) = (self.limits.multiplex, self.limits.dial_timeout);
-        let mut stuck = false;
+        let (max_cancelled, dial_timeout) = (self.limits.multiplex, self.limits.dial_timeout);
+        let mut write_blocked = false;
         if !unsent {
-            let staged = self.connections.change(id, |conn| {
-                let out = conn.out.iter().find(|(_, other)| *other == attempt);
-                let Some(part) = out.map(|(part, _)| part.clone()) else { return false };
-                if conn.given_up.len() >= most {
-                    conn.given_up.pop_front();
+            let staged = self.connections.change(id, |pooled| {
+                let entry = pooled.in_flight.iter().find(|(_, other)| *other == attempt);
+                let Some(part) = entry.map(|(part, _)| part.clone()) else { return false };
+                if pooled.cancelled.len() >= max_cancelled {
+                    pooled.cancelled.pop_front();
                 }
-                conn.given_up.push_back(part.clone());
-                let late = conn.server.is_late(now, sent);
-                let cut = now - sent >= SILENT_DIALS * dial;
-                let halted = conn.begun.is_some_and(|at| now.saturating_sub(at) >= HALTED);
-                conn.retiring |= (conn.heard <= sent && (late || cut)) || halted;
-                stuck = conn.connection.is_stuck();
-                // Where it closes with that, its closing says so.
-                let closes = conn.retiring && conn.out.len() == 1;
-                !closes && conn.connection.stage(WriteItem::Cancel(part))
+                pooled.cancelled.push_back(part.clone());
+                let overdue = pooled.server.is_overdue(now, sent);
+                let cut = now - sent >= SILENT_DIAL_TIMEOUTS * dial_timeout;
+                let stalled = pooled.partial_since.is_some_and(|at| now.saturating_sub(at) >= STALLED_AFTER);
+                pooled.retiring |= (pooled.last_received <= sent && (overdue || cut)) || stalled;
+                write_blocked = pooled.connection.is_write_blocked();
+                // If the connection closes with this attempt, the close tells the server.
+                let closes = pooled.retiring && pooled.in_flight.len() == 1;
+                !closes && pooled.connection.stage(WriteItem::Cancel(part))
             });
             if staged == Some(true) {
                 self.staged.push(id);
             }
         }
-        // Still on this side when its time ended: never ran. The wait was for a connection that did not come up.
+        // An attempt that was still queued here when its time ended never ran. It waited for a connection
+        // that was not established.
         let outcome = if unsent && outcome == Outcome::TimedOut { Outcome::NoConnection } else { outcome };
-        self.end(now, attempt, outcome, None, None);
-        // Nothing gets through, the giving up neither: only the end of the connection keeps a further attempt
-        // at the part from being a second one beside it.
-        if stuck {
-            self.lose(now, id);
+        self.end_attempt(now, attempt, outcome, None, None);
+        // Nothing can be written, not even the cancellation. Only closing the connection keeps a further
+        // attempt at the part from running beside this one.
+        if write_blocked {
+            self.close_broken(now, id);
         }
     }
 
-    /// The one place where an attempt is given back.
-    pub(super) fn end(
+    /// Ends an attempt. Every attempt ends here.
+    pub(super) fn end_attempt(
         &mut self,
         now: Micros,
         attempt: AttemptId,
@@ -79,65 +83,68 @@
     ) {
         let Some(flight) = self.in_flight.remove(&attempt) else { return };
         self.deadlines.remove(&(flight.deadline, attempt));
-        self.connections.change(flight.conn, |conn| {
-            conn.remove(attempt);
-            conn.used = now;
+        self.connections.change(flight.connection, |pooled| {
+            pooled.remove(attempt);
+            pooled.last_used = now;
         });
         let (elapsed, connected_at) = match outcome {
-            Outcome::Served => (self.served_in(now, &flight), self.connected_at(&flight)),
+            Outcome::Served => (self.service_time(now, &flight), self.connected_at(&flight)),
             _ => (now.saturating_sub(flight.sent), None),
         };
         self.ended.push(EndedAttempt { attempt, outcome, elapsed, load, connected_at, value });
     }
 
-    /// How long the server of an attempt had it. The time until its connection was up tells nothing of how fast its server
-    /// works: hundreds of connections of a first wide query come up one after another.
-    fn served_in(&self, now: Micros, flight: &InFlight) -> Micros {
+    /// Time for which the server of an attempt had it. The time until the connection was established is left
+    /// out, as it says nothing about the speed of the server: the hundreds of connections of a first wide
+    /// query are established one after another.
+    fn service_time(&self, now: Micros, flight: &InFlight) -> Micros {
         now.saturating_sub(flight.sent.max(self.connected_at(flight).unwrap_or(0)))
     }
 
-    /// Since when the connection of an attempt is up.
+    /// When the connection of an attempt was established; `None` if it was not.
     fn connected_at(&self, flight: &InFlight) -> Option<Micros> {
-        let up_at = self.connections.get(&flight.conn)?.connection.up_at();
-        (up_at > 0).then_some(up_at)
+        let connected_at = self.connections.get(&flight.connection)?.connection.connected_at();
+        (connected_at > 0).then_some(connected_at)
     }
 
-    /// Takes news of a connection.
+    /// Handles an event of a connection.
     pub fn handle_event(&mut self, now: Micros, id: u64, event: ConnectionEvent) {
         if let ConnectionEvent::Expired = event {
-            return self.take_late(now, id);
+            return self.handle_expired(now, id);
         }
-        let begun = matches!(event, ConnectionEvent::PartialFrame).then_some(now);
-        let heard = self.connections.change(id, |conn| {
-            conn.heard = now;
-            let surplus = begun.is_some() && conn.out.is_empty() && conn.given_up.is_empty();
-            conn.begun = begun.filter(|_| !surplus);
+        let partial = matches!(event, ConnectionEvent::PartialFrame).then_some(now);
+        let received = self.connections.change(id, |pooled| {
+            pooled.last_received = now;
+            let surplus = partial.is_some() && pooled.in_flight.is_empty() && pooled.cancelled.is_empty();
+            pooled.partial_since = partial.filter(|_| !surplus);
             surplus
         });
-        let Some(surplus) = heard else { return };
+        let Some(surplus) = received else { return };
         match event {
             ConnectionEvent::Frame(FromServer::Answer { id: part, outcome, held, value }) => {
-                self.take_answer(now, id, &part, outcome, held, value);
+                self.handle_answer(now, id, &part, outcome, held, value);
+            }
+            ConnectionEvent::PartialFrame if surplus => {
+                self.close_corrupt(now, id, "frame received with no attempt in flight");
             }
-            ConnectionEvent::PartialFrame if surplus => self.spoil(now, id, "nothing is out"),
             ConnectionEvent::PartialFrame | ConnectionEvent::Expired => {}
             ConnectionEvent::Frame(FromServer::Rejected(words)) => {
-                if let Some(conn) = self.connections.get(&id) {
-                    warn!(name: "upstream_rejected", server = %conn.server.name.0, words);
+                if let Some(pooled) = self.connections.get(&id) {
+                    warn!(name: "upstream_rejected", server = %pooled.server.name.0, words);
                 }
             }
             ConnectionEvent::Closed(error) => {
-                if let Some(conn) = self.connections.get(&id).filter(|c| !c.out.is_empty()) {
-                    let out = conn.out.len();
-                    warn!(name: "upstream_down", server = %conn.server.name.0, error = %error, out);
+                if let Some(pooled) = self.connections.get(&id).filter(|c| !c.in_flight.is_empty()) {
+                    let out = pooled.in_flight.len();
+                    warn!(name: "upstream_down", server = %pooled.server.name.0, error = %error, out);
                 }
-                self.lose(now, id);
+                self.close_broken(now, id);
             }
-            ConnectionEvent::BadFrame(bad) => self.spoil(now, id, bad.0),
+            ConnectionEvent::BadFrame(bad) => self.close_corrupt(now, id, bad.0),
         }
     }
 
-    fn take_answer(
+    fn handle_answer(
         &mut self,
         now: Micros,
         id: u64,
@@ -146,44 +153,48 @@
         held: Option<f64>,
         value: String,
     ) {
-        let Some(conn) = self.connections.get(&id) else { return };
-        if let Some(attempt) = conn.answered(part) {
-            if let Some(f) = self.in_flight.get(&attempt) {
-                conn.server.hear(f.sent, self.served_in(now, f));
+        let Some(pooled) = self.connections.get(&id) else { return };
+        if let Some(attempt) = pooled.attempt_answered_by(part) {
+            if let Some(flight) = self.in_flight.get(&attempt) {
+                pooled.server.record_answer(flight.sent, self.service_time(now, flight));
             }
             let value = (outcome == Outcome::Served).then_some(value);
-            return self.end(now, attempt, outcome, held, value);
+            return self.end_attempt(now, attempt, outcome, held, value);
         }
-        // One that was given up may still be answered: that is no longer asked for. Any other answer is
-        // one in the place of what was asked for, which will not come.
-        match conn.given_up.iter().position(|given_up| given_up.is(part)) {
-            Some(place) => _ = self.connections.change(id, |conn| conn.given_up.remove(place)),
-            None => self.spoil(now, id, "its id is not out"),
+        // A cancelled attempt may still be answered; that answer is ignored. Any other answer was sent in
+        // place of one that is awaited, which will not come.
+        match pooled.cancelled.iter().position(|cancelled| cancelled.is(part)) {
+            Some(position) => _ = self.connections.change(id, |pooled| pooled.cancelled.remove(position)),
+            None => self.close_corrupt(now, id, "answer to an attempt that is not in flight"),
         }
     }
 
-    /// What was to be written by a moment that has passed was not: it never ran. One whose own time is over ends with that.
-    fn take_late(&mut self, now: Micros, id: u64) {
-        let Some(conn) = self.connections.get(&id) else { return };
-        for attempt in conn.connection.late() {
+    /// Ends the attempts that were not written before their write deadline. They never ran. An attempt whose
+    /// own deadline has passed as well ends by that deadline instead.
+    fn handle_expired(&mut self, now: Micros, id: u64) {
+        let Some(pooled) = self.connections.get(&id) else { return };
+        for attempt in pooled.connection.expired() {
             if self.in_flight.get(&attempt).is_some_and(|f| f.deadline > now) {
                 self.abandon(now, attempt, Outcome::NotSent);
             }
         }
     }
 
-    /// A frame came that answers nothing: nothing after it on this connection is worth waiting for, so it is
-    /// closed at once. With nothing out this is surplus to a good answer, and no attempt fails. Else the oldest
-    /// attempt counts as an error, which may have run; those beside it may have run too, but tell nothing of
-    /// their server, which has failed but once, nor of their query, which does not bring down servers.
-    pub(super) fn spoil(&mut self, now: Micros, id: u64, error: &str) {
-        let Some(conn) = self.connections.get(&id) else { return };
-        warn!(name: "upstream_bad_frame", server = %conn.server.name.0, error, out = conn.out.len());
-        let unwritten = conn.connection.unwritten();
-        let mut out: Vec<AttemptId> = conn.out.iter().map(|(_, attempt)| *attempt).collect();
-        out.sort_by_key(|attempt| (self.in_flight.get(attempt).map(|f| f.sent), *attempt));
+    /// Closes a connection on which a frame was received that answers nothing: no later frame on it can be
+    /// trusted.
+    ///
+    /// With nothing in flight, the frame is surplus after a good answer and no attempt fails. Otherwise the
+    /// oldest attempt counts as an error, which may have run. The other attempts may have run too, but count
+    /// neither against their server, which has failed only once, nor against their query, which does not make
+    /// servers fail.
+    pub(super) fn close_corrupt(&mut self, now: Micros, id: u64, error: &str) {
+        let Some(pooled) = self.connections.get(&id) else { return };
+        warn!(name: "upstream_bad_frame", server = %pooled.server.name.0, error, out = pooled.in_flight.len());
+        let unwritten = pooled.connection.unwritten();
+        let mut attempts: Vec<AttemptId> = pooled.in_flight.iter().map(|(_, attempt)| *attempt).collect();
+        attempts.sort_by_key(|attempt| (self.in_flight.get(attempt).map(|f| f.sent), *attempt));
         let mut blamed = false;
-        for attempt in out {
+        for attempt in attempts {
             let outcome = if unwritten.contains(&attempt) {
                 Outcome::NotSent
             } else if std::mem::replace(&mut blamed, true) {
@@ -191,46 +202,47 @@
             } else {
                 Outcome::Error
             };
-            self.end(now, attempt, outcome, None, None);
+            self.end_attempt(now, attempt, outcome, None, None);
         }
         self.close(id);
     }
 
-    /// Ends all that is out on a broken connection, and closes it. A frame that was not written to its last
-    /// byte never ran; any other may have. What waited behind a connection that had come up tells nothing of
-    /// whether the server can be reached.
-    fn lose(&mut self, now: Micros, id: u64) {
-        let Some(conn) = self.connections.get(&id) else { return };
-        let (unwritten, was_up) = (conn.connection.unwritten(), conn.connection.was_up());
-        let lives = conn.server.answered.get() > conn.dialled;
-        for (_, attempt) in conn.out.clone() {
+    /// Ends all attempts in flight on a broken connection and closes it. An attempt whose frame was not
+    /// written to its last byte never ran; any other may have run. What was queued behind a connection that
+    /// had been established says nothing about whether the server can be reached.
+    fn close_broken(&mut self, now: Micros, id: u64) {
+        let Some(pooled) = self.connections.get(&id) else { return };
+        let (unwritten, was_connected) = (pooled.connection.unwritten(), pooled.connection.was_connected());
+        let server_alive = pooled.server.newest_answered.get() > pooled.dialled_at;
+        for (_, attempt) in pooled.in_flight.clone() {
             let outcome = match unwritten.contains(&attempt) {
-                true if was_up || lives => Outcome::NotSent,
+                true if was_connected || server_alive => Outcome::NotSent,
                 true => Outcome::NoConnection,
                 false => Outcome::ConnectionLost,
             };
-            self.end(now, attempt, outcome, None, None);
+            self.end_attempt(now, attempt, outcome, None, None);
         }
         self.close(id);
     }
 
-    /// Lets a connection finish what is out on it, and takes back what it has not begun to write.
+    /// Stops using a connection for new calls, lets what was written on it finish and withdraws what is still
+    /// queued.
     pub(super) fn retire(&mut self, now: Micros, id: u64) {
-        let taken = self.connections.change(id, |conn| {
-            conn.retiring = true;
-            conn.connection.withdraw_all()
+        let withdrawn = self.connections.change(id, |pooled| {
+            pooled.retiring = true;
+            pooled.connection.withdraw_all()
         });
-        for attempt in taken.into_iter().flatten() {
-            self.end(now, attempt, Outcome::NotSent, None, None);
+        for attempt in withdrawn.into_iter().flatten() {
+            self.end_attempt(now, attempt, Outcome::NotSent, None, None);
         }
     }
 
-    /// The one place where a connection is given back.
+    /// Closes a connection. Every connection is closed here.
     pub(super) fn close(&mut self, id: u64) {
-        let Some(conn) = self.connections.remove(id) else { return };
+        let Some(pooled) = self.connections.remove(id) else { return };
         self.sockets.remove(id);
-        conn.connection.shut();
-        conn.server.connections.borrow_mut().remove(&id);
-        self.forget(&conn.server);
+        pooled.connection.shutdown();
+        pooled.server.connections.borrow_mut().remove(&id);
+        self.remove_if_unused(&pooled.server);
     }
 }
--- a/crates/broker/src/upstream/mod.rs
+++ b/crates/broker/src/upstream/mod.rs
@@ -1,9 +1,10 @@
-//! Data servers: one pool of connections for each, and the attempts that are out on them.
+//! Connections to the data servers, pooled for each server, and the attempts in flight on them.
 //!
-//! The pool owns each attempt from its dispatch to its one [`EndedAttempt`], and each connection from its dialling to
-//! the drop of its task and its socket. What its sockets brought comes through the inbox; the pool acts on it in a turn.
-//! `placing` says which connection a call goes by, `endings` how attempts and connections end; `connections` holds the
-//! connections by what is due, `line` and `sockets` read and write.
+//! The pool owns each attempt from its dispatch to its one [`EndedAttempt`], and each connection from its
+//! dialling until its task and its socket are dropped. Events of the sockets arrive through the inbox, and
+//! the pool handles them within a turn. `assignment` selects the connection for a call, `endings` ends
+//! attempts and connections, `connection_table` indexes the connections by when they are due, `connection`
+//! and `sockets` read and write.
 
 mod assignment;
 mod connection;
@@ -13,7 +14,7 @@
 
 use crate::inbox::{Inbox, Presence};
 pub use assignment::ConnectionChoice;
-use assignment::LATE_DIAL;
+use assignment::OVERDUE_DIAL_DIVISOR;
 use async_executor::{LocalExecutor, Task};
 use connection::{QueuedPart, WriteItem};
 use connection_table::{ConnectionTable, Server};
@@ -29,57 +30,59 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Share of the servers' idle time after which a connection is retired: a part that crosses the server's
-/// closing would end as a reset, which tells nobody whether it ran.
+/// Fraction of the servers' idle time-out after which an idle connection is closed. A part sent while the
+/// server closes the connection would end with a reset, which does not tell whether the part ran.
 const IDLE_SHARE: (Micros, Micros) = (3, 4);
-/// A frame that has begun and does not go on for so long: nothing further is sent behind it.
-const HALTED: Micros = 20 * MILLI;
+/// Nothing further is sent on a connection whose incomplete frame has not grown for this time.
+const STALLED_AFTER: Micros = 20 * MILLI;
 
-/// An attempt to send, with all that goes into its frame.
+/// An attempt to send, with everything that its frame needs.
 #[derive(Clone, Debug)]
 pub struct DispatchedAttempt {
-    /// The attempt.
+    /// Identifies the attempt.
     pub attempt: AttemptId,
-    /// Where to.
+    /// The data server to send to.
     pub server: NodeId,
-    /// When to stop waiting.
+    /// Time at which the attempt times out.
     pub deadline: Micros,
-    /// Its frame's last byte is written before this moment, or the part is not sent.
+    /// The frame's last byte is written before this time, or the part is not sent.
     pub write_deadline: Micros,
     /// The part's id on the wire, with its shard.
     pub part: PartId,
-    /// The idempotency key, in a keyed class.
+    /// The idempotency key; `None` outside a keyed class.
     pub key: Option<Rc<str>>,
     /// The query's text.
     pub text: Rc<str>,
-    /// Whether its client waits.
+    /// Tells whether the client still waits.
     pub client: Rc<Presence>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedAttempt {
-    /// The attempt.
+    /// Identifies the attempt.
     pub attempt: AttemptId,
-    /// How.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since its dispatch; of one that was served, since its connection was up, if that is later.
+    /// Time since the dispatch. For a served attempt, time since its connection was established, if that was
+    /// later.
     pub elapsed: Micros,
-    /// How much the server said it holds.
+    /// Load that the server reported with its answer.
     pub load: Option<f64>,
-    /// Of one that was served: since when the connection is up that brought the answer.
+    /// When the connection of a served attempt was established; `None` for other outcomes.
     pub connected_at: Option<Micros>,
-    /// The value, if it was served.
+    /// The answer's value, if the attempt was served.
     pub value: Option<String>,
 }
 
+/// An attempt that was dispatched and has not ended.
 struct InFlight {
-    conn: u64,
+    connection: u64,
     sent: Micros,
     deadline: Micros,
 }
 
-/// The pools of all data servers.
+/// The connection pools of all data servers.
 pub struct Upstream {
     executor: Rc<LocalExecutor<'static>>,
     inbox: Rc<Inbox>,
@@ -87,19 +90,20 @@
     limits: PoolLimits,
     servers: BTreeMap<NodeId, Rc<Server>>,
     connections: ConnectionTable,
+    /// Id of the next connection; equals the number of connections dialled.
     next_connection: u64,
     in_flight: BTreeMap<AttemptId, InFlight>,
     deadlines: BTreeSet<(Micros, AttemptId)>,
     ended: Vec<EndedAttempt>,
     sockets: Rc<Sockets>,
-    /// Connections that have something staged, in the order in which that is to be written.
+    /// Connections with staged frames, in the order in which they are to be written.
     staged: Vec<u64>,
-    /// Reads from all sockets.
+    /// The task that reads from all sockets.
     _reader: Task<()>,
 }
 
 impl Upstream {
-    /// Pools without servers. The error is the system's: no descriptor is left for their event queue.
+    /// Creates the pools, without servers. Fails if no descriptor is left for the event queue.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         inbox: Rc<Inbox>,
@@ -107,7 +111,7 @@
         limits: PoolLimits,
     ) -> io::Result<Self> {
         let sockets = Sockets::new(inbox.clone())?;
-        let reader = executor.spawn(sockets::watch(sockets.clone()));
+        let reader = executor.spawn(sockets::read_loop(sockets.clone()));
         Ok(Upstream {
             executor,
             inbox,
@@ -125,39 +129,41 @@
         })
     }
 
-    /// Connections that were dialled since the start.
+    /// Number of connections dialled since the start.
     pub fn dial_count(&self) -> u64 {
         self.next_connection
     }
 
-    /// Whether some of them have not come up yet.
+    /// Whether any connection is not established yet.
     pub fn is_dialling(&self) -> bool {
-        self.connections.first_dialled().is_some()
+        self.connections.first_dialling().is_some()
     }
 
-    /// Other limits, for what is dialled and sent from now on; descriptors stay what they are.
+    /// Sets the limits for everything that is dialled and sent from now on. The number of descriptors is
+    /// unchanged.
     pub fn set_limits(&mut self, limits: PoolLimits) {
         self.limits = PoolLimits { sockets: self.limits.sockets, ..limits };
     }
 
-    /// So many descriptors at the most from now on. Beyond that idle connections end at once, and others as they fall idle.
+    /// Sets the maximum number of descriptors. If more are in use, idle connections are closed at once, and
+    /// the caller calls this again to close others once they are idle.
     pub fn set_capacity(&mut self, sockets: usize) {
         self.limits.sockets = sockets;
         while self.connections.len() > sockets && self.evict_idle() {}
     }
 
-    /// Descriptors that connections may have in all, and those that no connection has.
+    /// Maximum number of descriptors for connections, and the number of those that are free.
     pub fn capacity(&self) -> (usize, usize) {
         (self.limits.sockets, self.limits.sockets.saturating_sub(self.connections.len()))
     }
 
-    /// Data servers that are known here.
+    /// Number of data servers known here.
     pub fn server_count(&self) -> usize {
         self.servers.len()
     }
 
-    /// Takes where a server is to be called; `None`: it wants nothing new, or is gone. What waits unsent for
-    /// one that left or moved is taken back.
+    /// Sets the address of a server; `None` if it is not to receive anything new or has gone. Parts that are
+    /// still queued for a server that left or moved are withdrawn.
     pub fn set_endpoint(&mut self, now: Micros, name: NodeId, endpoint: Option<SocketAddr>) {
         let server = self.servers.entry(name).or_insert_with_key(|name| Rc::new(Server::new(name.clone())));
         let server = server.clone();
@@ -166,59 +172,60 @@
             let connections = server.connections.borrow().clone();
             connections.into_iter().for_each(|id| self.retire(now, id));
         }
-        self.forget(&server);
+        self.remove_if_unused(&server);
     }
 
-    /// Forgets a server that is not to be called and has no connections.
-    fn forget(&mut self, server: &Server) {
+    /// Removes a server that has neither an address nor connections.
+    fn remove_if_unused(&mut self, server: &Server) {
         if server.endpoint.get().is_none() && server.connections.borrow().is_empty() {
             self.servers.remove(&server.name);
         }
     }
 
-    /// The names of all servers that take something new.
+    /// Names of all servers that may receive something new.
     pub fn serving(&self) -> Vec<NodeId> {
         let serving = self.servers.iter().filter(|(_, s)| s.endpoint.get().is_some());
         serving.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Sends the attempts of one turn: those to one server share calls.
-    pub fn dispatch(&mut self, now: Micros, mut sends: Vec<DispatchedAttempt>) {
-        sends.sort_by(|a, b| a.server.cmp(&b.server));
+    /// Sends the attempts of one turn. Attempts to the same server share calls.
+    pub fn dispatch(&mut self, now: Micros, mut attempts: Vec<DispatchedAttempt>) {
+        attempts.sort_by(|a, b| a.server.cmp(&b.server));
         let batch = self.limits.batch.max(1);
-        let mut sends = sends.into_iter().peekable();
-        while let Some(first) = sends.next() {
+        let mut attempts = attempts.into_iter().peekable();
+        while let Some(first) = attempts.next() {
             let server = first.server.clone();
-            let mut parts = vec![outgoing(now, first)];
+            let mut parts = vec![queued_part(now, first)];
             while parts.len() < batch
-                && let Some(next) = sends.next_if(|send| send.server == server)
+                && let Some(next) = attempts.next_if(|attempt| attempt.server == server)
             {
-                parts.push(outgoing(now, next));
+                parts.push(queued_part(now, next));
             }
-            self.call(now, &server, parts);
+            self.send_call(now, &server, parts);
         }
         self.flush();
     }
 
-    /// Writes what the turn has staged. What was given up stands before what is sent anew: a further attempt at a part
-    /// must not go out before the giving up of the first, or before the end of its connection where that is given up too.
+    /// Writes what the turn has staged. Cancellations come before new calls: a further attempt at a part must
+    /// not be written before the first attempt is cancelled, or before its connection is closed if that is
+    /// abandoned as well.
     fn flush(&mut self) {
         for id in self.connections.done() {
             self.close(id);
         }
         let staged = std::mem::take(&mut self.staged);
-        let lines = staged.iter().filter_map(|id| Some((*id, &self.connections.get(id)?.connection)));
-        self.sockets.flush(lines, &self.clock);
+        let connections = staged.iter().filter_map(|id| Some((*id, &self.connections.get(id)?.connection)));
+        self.sockets.flush(connections, &self.clock);
     }
 
-    fn call(&mut self, now: Micros, name: &NodeId, parts: Vec<QueuedPart>) {
+    fn send_call(&mut self, now: Micros, name: &NodeId, parts: Vec<QueuedPart>) {
         let server = self.servers.get(name).cloned();
         let id = server.and_then(|server| self.connection_for(now, &server, &parts));
         let Some(id) = id else {
-            // For want of a descriptor: that says nothing of the server.
+            // If the server is known, no descriptor was free, which says nothing about the server.
             let known = self.servers.get(name).is_some_and(|s| s.endpoint.get().is_some());
             let outcome = if known { Outcome::NotSent } else { Outcome::NoConnection };
-            let never = |part: QueuedPart| EndedAttempt {
+            let unsent = |part: QueuedPart| EndedAttempt {
                 attempt: part.attempt,
                 outcome,
                 elapsed: 0,
@@ -226,39 +233,42 @@
                 connected_at: None,
                 value: None,
             };
-            return self.ended.extend(parts.into_iter().map(never));
+            return self.ended.extend(parts.into_iter().map(unsent));
         };
         for part in &parts {
             self.deadlines.insert((part.deadline, part.attempt));
-            self.in_flight.insert(part.attempt, InFlight { conn: id, sent: now, deadline: part.deadline });
+            self.in_flight
+                .insert(part.attempt, InFlight { connection: id, sent: now, deadline: part.deadline });
         }
-        let staged = self.connections.change(id, |conn| {
-            conn.used = now;
-            conn.out.extend(parts.iter().map(|part| (part.id.clone(), part.attempt)));
-            conn.connection.stage(WriteItem::Call(parts))
+        let staged = self.connections.change(id, |pooled| {
+            pooled.last_used = now;
+            pooled.in_flight.extend(parts.iter().map(|part| (part.id.clone(), part.attempt)));
+            pooled.connection.stage(WriteItem::Call(parts))
         });
         if staged == Some(true) {
             self.staged.push(id);
         }
     }
 
-    /// Closes what is idle for too long, or retired and done with.
+    /// Moves calls away from connections whose dialling is overdue, and closes connections that have been
+    /// idle for too long, are retiring with nothing in flight, or have stopped within a frame.
     pub fn sweep(&mut self, now: Micros) {
-        self.pass_late(now);
-        let idle = self.limits.keepalive * IDLE_SHARE.0 / IDLE_SHARE.1;
-        let idle = now.checked_sub(idle).map(|since| self.connections.idle_since(since));
+        self.reassign_overdue_dials(now);
+        let max_idle = self.limits.keepalive * IDLE_SHARE.0 / IDLE_SHARE.1;
+        let idle = now.checked_sub(max_idle).map(|since| self.connections.idle_since(since));
         for id in idle.into_iter().flatten().chain(self.connections.done()) {
             self.close(id);
         }
         let stalled = now.checked_sub(self.limits.dial_timeout).map(|since| self.connections.stalled(since));
         for id in stalled.into_iter().flatten() {
-            self.spoil(now, id, "its end does not come");
+            self.close_corrupt(now, id, "frame incomplete for the dial time-out");
         }
     }
 
-    /// Takes the attempts that have ended, those included whose time is over by now. A turn begins with this:
-    /// the module ends a query at the moment at which its attempts time out, and would else call them off first,
-    /// so that no time-out ever reached it and silent servers went unnoticed.
+    /// Removes and returns the attempts that have ended, including those that time out now. A turn calls this
+    /// before it makes decisions: the decision module ends a query at the time at which its attempts time
+    /// out, and would otherwise cancel them first, so that no time-out would ever be reported and silent
+    /// servers would go unnoticed.
     pub fn take_ended(&mut self, now: Micros) -> Vec<EndedAttempt> {
         while let Some(&(_, attempt)) = self.deadlines.first().filter(|(deadline, _)| *deadline <= now) {
             self.abandon(now, attempt, Outcome::TimedOut);
@@ -266,50 +276,52 @@
         std::mem::take(&mut self.ended)
     }
 
-    /// Attempts that are out.
+    /// Number of attempts in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Attempts written whole to data servers since the start.
+    /// Number of attempts written completely to data servers since the start.
     pub fn forwards(&self) -> u64 {
         self.sockets.counts.forwards.get()
     }
 
-    /// Whether some have ended that were not taken.
+    /// Whether attempts have ended that [`Upstream::take_ended`] has not returned yet.
     pub fn has_ended(&self) -> bool {
         !self.ended.is_empty()
     }
 
-    /// When the next attempt's time is over, or the next frame is late that has begun.
+    /// When the next attempt times out, the next incomplete frame has stalled or the next dialling is
+    /// overdue.
     pub fn due(&self) -> Micros {
         let deadline = self.deadlines.first().map(|(deadline, _)| *deadline);
-        let stall = self.connections.first_begun().map(|at| at + self.limits.dial_timeout);
-        let late = self.connections.first_dialled().map(|at| at + self.limits.dial_timeout / LATE_DIAL);
-        [deadline, stall, late].into_iter().flatten().min().unwrap_or(Micros::MAX)
+        let stalled = self.connections.first_partial().map(|at| at + self.limits.dial_timeout);
+        let overdue_dial =
+            self.connections.first_dialling().map(|at| at + self.limits.dial_timeout / OVERDUE_DIAL_DIVISOR);
+        [deadline, stalled, overdue_dial].into_iter().flatten().min().unwrap_or(Micros::MAX)
     }
 
-    /// Open connections.
+    /// Number of connections, including those being dialled.
     pub fn open(&self) -> usize {
         self.connections.len()
     }
 
-    /// Those of them on which nothing is out.
+    /// Number of connections with nothing in flight.
     pub fn idle(&self) -> usize {
         self.connections.idle()
     }
 
-    /// Leaves what comes in the system's hands, or takes it from there again: so long as no turn may begin, reading at each
-    /// answer costs more looks than reading once before the turn.
-    pub fn pause_reads(&self, hold: bool) {
-        self.sockets.hold(hold);
+    /// Pauses or resumes reading. While no turn may begin, reading each answer as it arrives costs more
+    /// system calls than reading all of them once before the turn.
+    pub fn pause_reads(&self, pause: bool) {
+        self.sockets.pause(pause);
     }
 }
 
-/// A part as its connection takes it.
-fn outgoing(now: Micros, send: DispatchedAttempt) -> QueuedPart {
-    let wait_ms = (send.deadline.saturating_sub(now) / MILLI).max(1);
-    let DispatchedAttempt { attempt, deadline, write_deadline, part, key, text, client, .. } = send;
+/// Converts an attempt to a part for the write queue of its connection.
+fn queued_part(now: Micros, dispatched: DispatchedAttempt) -> QueuedPart {
+    let wait_ms = (dispatched.deadline.saturating_sub(now) / MILLI).max(1);
+    let DispatchedAttempt { attempt, deadline, write_deadline, part, key, text, client, .. } = dispatched;
     QueuedPart { attempt, id: part, wait_ms, write_deadline, deadline, key, text, client }
 }
 
--- a/crates/broker/src/upstream/sockets.rs
+++ b/crates/broker/src/upstream/sockets.rs
@@ -1,8 +1,10 @@
-//! The sockets of all connections that are up: one event queue for them, reading, and what a turn writes.
+//! The sockets of all established connections: their event queue, reading, and the writes that a turn makes
+//! itself.
 //!
-//! A query of hundreds of parts goes to as many connections. A task woken, a queue armed again and a read that finds nothing
-//! for each of them cost more than its bytes do, so that one task waits for all sockets together, and a turn writes
-//! by itself to those that take it. A connection's own task dials, and writes what waited or what its socket does not take.
+//! A query of hundreds of parts is sent on as many connections. Waking a task, rearming an event queue and a
+//! read that finds nothing, for each of them, would cost more than transferring the bytes. One task therefore
+//! waits for all sockets together, and a turn writes itself to the sockets that accept it. A connection's own
+//! task dials, and writes what was queued and what the socket did not accept.
 
 use super::connection::Connection;
 use crate::inbox::{ConnectionEvent, Inbox, Input};
@@ -21,145 +23,148 @@
 use std::task::{Poll, Waker};
 use std::time::Duration;
 
-/// Sockets that are read before others have their turn.
-const AT_ONCE: usize = 256;
-/// The most that one read takes.
-const CHUNK: usize = 16 * 1024;
-/// A queue that the system does not let us wait for is tried again after this time.
-const AGAIN: Duration = Duration::from_millis(20);
+/// Maximum number of sockets that are read before other tasks run.
+const MAX_EVENTS: usize = 256;
+/// Maximum number of bytes in one read.
+const READ_SIZE: usize = 16 * 1024;
+/// Delay before waiting for the event queue again after the system refused it.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What was asked of the system for data servers, and what came of it, since the start.
+/// System calls made for data servers and their results, counted since the start.
 #[derive(Debug, Default)]
 pub(super) struct Counts {
-    /// Attempts written whole.
+    /// Attempts written completely.
     pub(super) forwards: Cell<u64>,
-    /// Writes.
+    /// Calls of `write`.
     pub(super) writes: Cell<u64>,
-    /// Reads.
+    /// Calls of `read`.
     pub(super) reads: Cell<u64>,
-    /// Looks at the event queue.
-    pub(super) looks: Cell<u64>,
+    /// Polls of the event queue.
+    pub(super) polls: Cell<u64>,
 }
 
-/// One more.
+/// Increments a counter.
 pub(super) fn count(of: &Cell<u64>) {
     of.set(of.get() + 1);
 }
 
-/// The sockets that are up.
+/// The sockets of all established connections.
 pub(super) struct Sockets {
-    /// Level-triggered: what is not read shows again.
+    /// Level-triggered: a socket that was not read completely is reported again.
     queue: Async<OwnedFd>,
-    lines: RefCell<BTreeMap<u64, Rc<Connection>>>,
+    connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
     inbox: Rc<Inbox>,
     pub(super) counts: Rc<Counts>,
-    /// For one read, one write and one look, of which none lasts.
-    chunk: RefCell<Vec<u8>>,
-    out: RefCell<Vec<u8>>,
+    /// Buffers for one read, one write and one poll; none is in use between calls.
+    read_buffer: RefCell<Vec<u8>>,
+    write_buffer: RefCell<Vec<u8>>,
     events: RefCell<Vec<Event>>,
-    /// Whether what comes is left to the system for now, and who waits for the end of that.
-    held: Cell<bool>,
-    waits: RefCell<Option<Waker>>,
+    /// Whether received data is left in the system's buffers, and the reader that waits for the end of that.
+    paused: Cell<bool>,
+    paused_reader: RefCell<Option<Waker>>,
 }
 
 impl Sockets {
-    /// None yet. The error is the system's: it has no descriptor left.
+    /// Creates the event queue, without sockets. Fails if no descriptor is left for it.
     pub(super) fn new(inbox: Rc<Inbox>) -> io::Result<Rc<Self>> {
         let queue = Async::new_nonblocking(epoll::create(CreateFlags::CLOEXEC)?)?;
         Ok(Rc::new(Sockets {
             queue,
-            lines: RefCell::default(),
+            connections: RefCell::default(),
             inbox,
             counts: Rc::default(),
-            chunk: RefCell::new(vec![0; CHUNK]),
-            out: RefCell::default(),
-            events: RefCell::new(Vec::with_capacity(AT_ONCE)),
-            held: Cell::default(),
-            waits: RefCell::default(),
+            read_buffer: RefCell::new(vec![0; READ_SIZE]),
+            write_buffer: RefCell::default(),
+            events: RefCell::new(Vec::with_capacity(MAX_EVENTS)),
+            paused: Cell::default(),
+            paused_reader: RefCell::default(),
         }))
     }
 
-    /// Takes a connection that has come up.
-    pub(super) fn add(&self, id: u64, line: &Rc<Connection>) -> io::Result<()> {
-        let Some(socket) = line.socket() else { return Ok(()) };
+    /// Registers an established connection for reading.
+    pub(super) fn add(&self, id: u64, connection: &Rc<Connection>) -> io::Result<()> {
+        let Some(socket) = connection.socket() else { return Ok(()) };
         epoll::add(&self.queue, &*socket, EventData::new_u64(id), EventFlags::IN | EventFlags::RDHUP)?;
-        self.lines.borrow_mut().insert(id, line.clone());
+        self.connections.borrow_mut().insert(id, connection.clone());
         Ok(())
     }
 
-    /// Gives a connection up.
+    /// Removes a connection.
     pub(super) fn remove(&self, id: u64) {
-        let Some(line) = self.lines.borrow_mut().remove(&id) else { return };
-        if let Some(socket) = line.socket() {
-            // It goes with its socket otherwise.
+        let Some(connection) = self.connections.borrow_mut().remove(&id) else { return };
+        if let Some(socket) = connection.socket() {
+            // If this fails, closing the socket removes it from the queue.
             let _ = epoll::delete(&self.queue, &*socket);
         }
     }
 
-    /// A connection has ended: nothing more is read or written.
-    pub(super) fn end(&self, id: u64, line: &Connection, how: ConnectionEvent) {
-        if line.set_ended() {
+    /// Ends a connection and reports the event: nothing more is read or written.
+    pub(super) fn end(&self, id: u64, connection: &Connection, event: ConnectionEvent) {
+        if connection.set_ended() {
             self.remove(id);
-            self.inbox.put(Input::Connection(id, how));
+            self.inbox.put(Input::Connection(id, event));
         }
     }
 
-    /// Reads what a connection has, once.
-    pub(super) fn read(&self, id: u64, line: &Connection) {
-        if line.has_ended() {
+    /// Reads once from a connection.
+    pub(super) fn read(&self, id: u64, connection: &Connection) {
+        if connection.has_ended() {
             return;
         }
         count(&self.counts.reads);
-        let mut chunk = self.chunk.borrow_mut();
-        if let Some(end) = line.read(&mut chunk, |event| self.inbox.put(Input::Connection(id, event))) {
-            self.end(id, line, end);
+        let mut buffer = self.read_buffer.borrow_mut();
+        if let Some(end) = connection.read(&mut buffer, |event| self.inbox.put(Input::Connection(id, event)))
+        {
+            self.end(id, connection, end);
         }
     }
 
-    /// Reads from those that have something, up to [`AT_ONCE`]. False: those were all.
-    pub(super) fn read_some(&self) -> bool {
+    /// Reads once from the connections that have data, at most [`MAX_EVENTS`]. Returns false if those were
+    /// all.
+    pub(super) fn read_batch(&self) -> bool {
         let mut events = self.events.borrow_mut();
         events.clear();
-        count(&self.counts.looks);
-        // An interrupted look is made again with the next.
+        count(&self.counts.polls);
+        // An interrupted poll is repeated by the next call.
         let _ = epoll::wait(&self.queue, spare_capacity(&mut events), Some(&Timespec::default()));
         for event in &*events {
             let id = event.data.u64();
-            let line = self.lines.borrow().get(&id).cloned();
-            if let Some(line) = line {
-                self.read(id, &line);
+            let connection = self.connections.borrow().get(&id).cloned();
+            if let Some(connection) = connection {
+                self.read(id, &connection);
             }
         }
         events.len() == events.capacity()
     }
 
-    /// Reads from all that have something now.
+    /// Reads from all connections that have data now.
     pub(super) fn read_all(&self) {
-        // One that sends without end shows each time, behind all others.
-        let most = self.lines.borrow().len() / AT_ONCE + 1;
-        for _ in 0..most {
-            if !self.read_some() {
+        // The number of batches is bounded: a connection on which data arrives without end is reported each
+        // time, after all others.
+        let max_batches = self.connections.borrow().len() / MAX_EVENTS + 1;
+        for _ in 0..max_batches {
+            if !self.read_batch() {
                 return;
             }
         }
     }
 
-    /// Leaves what comes to the system for now, or reads it.
-    pub(super) fn hold(&self, hold: bool) {
-        self.held.set(hold);
-        if !hold {
+    /// Pauses reading, or reads what was received meanwhile and resumes.
+    pub(super) fn pause(&self, pause: bool) {
+        self.paused.set(pause);
+        if !pause {
             self.read_all();
-            if let Some(reader) = self.waits.take() {
+            if let Some(reader) = self.paused_reader.take() {
                 reader.wake();
             }
         }
     }
 
-    /// Waits until something is there and is not left to the system.
+    /// Waits until a connection has data and reading is not paused.
     async fn readable(&self) -> io::Result<()> {
         poll_fn(|cx| {
-            if self.held.get() {
-                *self.waits.borrow_mut() = Some(cx.waker().clone());
+            if self.paused.get() {
+                *self.paused_reader.borrow_mut() = Some(cx.waker().clone());
                 return Poll::Pending;
             }
             self.queue.poll_readable(cx)
@@ -167,40 +172,40 @@
         .await
     }
 
-    /// Writes what a turn has staged on these connections, in their order. What has come is read before anything is written:
-    /// a frame on a connection that its server has just closed, or spoilt, may have run as far as anybody knows, and answers
-    /// that are in would be lost with a failed write.
+    /// Writes what a turn has staged on these connections, in their order. What was received is read before
+    /// anything is written: a frame written to a connection that its server has just closed or corrupted
+    /// would have to count as possibly run, and answers that have arrived would be lost with a failed write.
     pub(super) fn flush<'a>(
         &self,
-        lines: impl IntoIterator<Item = (u64, &'a Rc<Connection>)>,
+        connections: impl IntoIterator<Item = (u64, &'a Rc<Connection>)>,
         clock: &Clock,
     ) {
-        let mut lines = lines.into_iter().peekable();
-        if lines.peek().is_none() {
+        let mut connections = connections.into_iter().peekable();
+        if connections.peek().is_none() {
             return;
         }
         self.read_all();
-        let mut out = self.out.borrow_mut();
-        for (id, line) in lines {
-            let written = line.flush(clock, &mut out);
-            if line.has_late() {
+        let mut buffer = self.write_buffer.borrow_mut();
+        for (id, connection) in connections {
+            let written = connection.flush(clock, &mut buffer);
+            if connection.has_expired() {
                 self.inbox.put(Input::Connection(id, ConnectionEvent::Expired));
             }
             if let Err(error) = written {
-                self.end(id, line, ConnectionEvent::Closed(error));
+                self.end(id, connection, ConnectionEvent::Closed(error));
             }
         }
     }
 }
 
-/// Reads whatever comes, on all connections, until dropped.
-pub(super) async fn watch(sockets: Rc<Sockets>) {
+/// Reads from all connections until dropped.
+pub(super) async fn read_loop(sockets: Rc<Sockets>) {
     loop {
         if sockets.readable().await.is_err() {
-            Timer::after(AGAIN).await;
+            Timer::after(RETRY_DELAY).await;
         }
-        sockets.read_some();
-        // A server that sends without end must not keep the one thread from all others.
+        sockets.read_batch();
+        // A server that sends without end must not block the other tasks of this thread.
         yield_now().await;
     }
 }
--- a/crates/broker/src/upstream/tests.rs
+++ b/crates/broker/src/upstream/tests.rs
@@ -52,23 +52,24 @@
 }
 
 #[test]
-fn calls_are_spread_over_a_few_connections_and_an_idle_one_is_used_again() {
+fn calls_are_spread_over_a_few_connections_and_idle_ones_are_reused() {
     let (mut pool, _listener) = pool(limits());
     pool.dispatch(0, sends(1, 3));
     assert_eq!(pool.open(), 2);
     pool.handle_event(10, 1, answer("q1.2"));
     pool.dispatch(20, sends(2, 1));
-    assert_eq!((pool.open(), pool.connections[&1].out.len()), (2, 1));
+    assert_eq!((pool.open(), pool.connections[&1].in_flight.len()), (2, 1));
     (3..20).for_each(|query| pool.dispatch(30, sends(query, 1)));
-    assert_eq!(pool.connections.values().map(|c| c.out.len()).collect::<Vec<_>>(), [4; 5]);
+    assert_eq!(pool.connections.values().map(|c| c.in_flight.len()).collect::<Vec<_>>(), [4; 5]);
 }
 
-/// What waited for its connection to come up tells only from then on how long its server takes.
+/// The time that a part waits for its connection to be established must not count as answer time of its
+/// server.
 #[test]
-fn the_time_of_an_answer_begins_once_its_connection_is_up() {
+fn answer_time_starts_once_the_connection_is_established() {
     let (mut pool, _listener) = pool(limits());
     pool.dispatch(1_000, sends(1, 1));
-    pool.connections[&0].connection.came_up(81_000);
+    pool.connections[&0].connection.set_connected(81_000);
     pool.handle_event(101_000, 0, answer("q1.0"));
     pool.dispatch(200_000, sends(2, 1));
     pool.handle_event(230_000, 0, answer("q2.0"));
@@ -78,35 +79,37 @@
     assert!(ended.iter().all(|ended| ended.connected_at == Some(81_000)));
 }
 
-/// A server may close a connection right after its answer: the one that rested longest is the safest.
+/// A server may close a connection right after its answer, so the connection that has been idle longest is
+/// the safest.
 #[test]
-fn of_idle_connections_the_one_that_rested_longest_is_used() {
+fn the_connection_that_has_been_idle_longest_is_used() {
     let (mut pool, _listener) = pool(limits());
     pool.dispatch(0, sends(1, 3));
     for (now, id, wire) in [(10, 1, "q1.2"), (20, 0, "q1.1"), (30, 0, "q1.0")] {
         pool.handle_event(now, id, answer(wire));
     }
     pool.dispatch(40, sends(2, 1));
-    assert_eq!(pool.connections[&1].out.len(), 1);
+    assert_eq!(pool.connections[&1].in_flight.len(), 1);
 }
 
-/// Parts go by their ids: two attempts at one on one connection would have one answer.
+/// Answers are matched by part id, so the answers to two attempts at one part on the same connection could
+/// not be told apart.
 #[test]
-fn a_second_copy_at_the_same_server_goes_on_another_connection() {
+fn a_hedged_attempt_at_the_same_server_uses_another_connection() {
     let (mut pool, _listener) = pool(PoolLimits { sockets: 2, ..limits() });
     pool.dispatch(0, sends(1, 1));
     pool.dispatch(10, sends(2, 1));
-    let copy =
+    let hedge =
         |s: DispatchedAttempt| DispatchedAttempt { attempt: AttemptId { attempt: 1, ..s.attempt }, ..s };
-    pool.dispatch(20, sends(1, 1).into_iter().map(copy).collect());
-    assert_eq!(pool.connections.values().map(|c| c.out.len()).collect::<Vec<_>>(), [1, 2]);
+    pool.dispatch(20, sends(1, 1).into_iter().map(hedge).collect());
+    assert_eq!(pool.connections.values().map(|c| c.in_flight.len()).collect::<Vec<_>>(), [1, 2]);
     pool.handle_event(30, 0, answer("q1.0"));
     pool.handle_event(40, 1, answer("q1.0"));
     assert_eq!(outcomes(&mut pool, 50), [Outcome::Served, Outcome::Served]);
     assert_eq!(pool.in_flight(), 1);
 }
 
-/// Runs the pool's tasks until all that was sent is written.
+/// Runs the pool's tasks until all frames are written.
 fn run_until_written(pool: &mut Upstream) {
     let executor = pool.executor.clone();
     while pool.connections.values().any(|c| !c.connection.unwritten().is_empty()) {
@@ -114,83 +117,86 @@
     }
 }
 
-/// A part whose frame is longer than what the system holds for a peer that does not read.
-fn endless(query: u64) -> Vec<DispatchedAttempt> {
+/// A part whose frame is longer than what the system buffers for a peer that does not read.
+fn oversized(query: u64) -> Vec<DispatchedAttempt> {
     sends(query, 1)
         .into_iter()
         .map(|s| DispatchedAttempt { text: "x".repeat(64 << 20).into(), ..s })
         .collect()
 }
 
-/// The end of a connection that had come up is no news of whether its server can be reached.
+/// The end of a connection that had been established says nothing about whether its server can be reached.
 #[test]
-fn what_waits_behind_a_connection_that_was_up_is_not_sent() {
+fn parts_queued_on_a_connection_that_had_been_established_end_as_not_sent() {
     let (mut pool, _listener) = pool(PoolLimits { sockets: 1, ..limits() });
     pool.dispatch(0, sends(1, 1));
     run_until_written(&mut pool);
-    pool.dispatch(10, endless(2));
-    assert!(pool.connections[&0].connection.is_stuck(), "its end is not out");
+    pool.dispatch(10, oversized(2));
+    assert!(pool.connections[&0].connection.is_write_blocked(), "the frame is not written to its end");
     pool.dispatch(10, sends(3, 1));
     pool.handle_event(20, 0, broken());
     assert_eq!(outcomes(&mut pool, 30), [Outcome::ConnectionLost, Outcome::NotSent, Outcome::NotSent]);
 }
 
-/// Of what a turn writes at once the socket may take a part: the connection's task writes the rest, and what stood behind it.
+/// The socket may accept only part of what a turn writes. The connection's task then writes the rest,
+/// followed by the frames behind it.
 #[test]
-fn what_a_socket_does_not_take_at_once_goes_out_in_its_order() {
+fn frames_that_a_socket_does_not_accept_at_once_are_written_in_order() {
     let (mut pool, listener) = pool(PoolLimits { sockets: 1, batch: 1, ..limits() });
     pool.dispatch(0, sends(1, 1));
     run_until_written(&mut pool);
-    pool.dispatch(10, [endless(2), sends(3, 2)].concat());
-    assert!(pool.connections[&0].connection.is_stuck());
+    pool.dispatch(10, [oversized(2), sends(3, 2)].concat());
+    assert!(pool.connections[&0].connection.is_write_blocked());
     assert_eq!(pool.forwards(), 1);
     let (mut server, _) = listener.accept().unwrap();
     let reading = std::thread::spawn(move || {
-        let (mut input, mut heard) = (Vec::new(), Vec::new());
+        let (mut input, mut received) = (Vec::new(), Vec::new());
         let mut chunk = vec![0; 1 << 20];
-        while heard.len() < 4 {
+        while received.len() < 4 {
             let n = std::io::Read::read(&mut server, &mut chunk).unwrap();
             input.extend_from_slice(&chunk[..n]);
-            // Frames by hand: this one is longer than any that a server takes.
+            // Decoded by hand, since one frame is longer than any that a server accepts.
             while let Some((length, rest)) = input.split_first_chunk::<4>() {
                 let length = u32::from_be_bytes(*length) as usize;
                 if rest.len() < length {
                     break;
                 }
                 let line = rest[1..].split(|b| *b == b' ').next().unwrap();
-                heard.push(String::from_utf8(line.to_vec()).unwrap());
+                received.push(String::from_utf8(line.to_vec()).unwrap());
                 input.drain(..4 + length);
             }
         }
-        heard
+        received
     });
     run_until_written(&mut pool);
     assert_eq!(reading.join().unwrap(), ["q1.0", "q2.0", "q3.0", "q3.1"]);
     assert_eq!(pool.forwards(), 4);
 }
 
-fn outcomes_of_spoilt(event: ConnectionEvent, sent: usize) -> (Vec<Outcome>, usize) {
+fn outcomes_after_corrupt(event: ConnectionEvent, sent: usize) -> (Vec<Outcome>, usize) {
     let (mut pool, _listener) = pool(PoolLimits { batch: 4, ..limits() });
     pool.dispatch(0, sends(1, sent));
-    block_on(pool.connections[&0].connection.next(&Clock::standing()));
-    pool.connections[&0].connection.written();
+    block_on(pool.connections[&0].connection.next_frame(&Clock::standing()));
+    pool.connections[&0].connection.frame_written();
     pool.handle_event(10, 0, event);
     (outcomes(&mut pool, 20), pool.open())
 }
 
-/// An answer for what is not out stands in the place of one that will not come: it must not be waited for.
-/// It is one failure of the server, whatever else was out on the connection, and none of a query's own.
+/// An answer to an attempt that is not in flight was sent in place of one that will not come, which must not
+/// be awaited. It counts as one failure of the server, whatever else is in flight on the connection, and not
+/// as a failure of a query.
 #[test]
-fn a_spoilt_answer_fails_one_attempt_and_closes_its_connection() {
+fn a_corrupt_answer_fails_one_attempt_and_closes_its_connection() {
     for event in [answer("q7.0"), ConnectionEvent::BadFrame(plover_frames::BadFrame("noise"))] {
-        let outcomes = outcomes_of_spoilt(event, 3);
+        let outcomes = outcomes_after_corrupt(event, 3);
         assert_eq!(outcomes, (vec![Outcome::Error, Outcome::Cancelled, Outcome::Cancelled], 0));
     }
 }
 
-/// A second copy or noise after a good answer fails nothing, but nobody can tell what else would come.
+/// A duplicate or invalid bytes after a good answer make no attempt fail, but no later frame on the
+/// connection can be trusted.
 #[test]
-fn surplus_after_a_good_answer_closes_the_connection_and_fails_nothing() {
+fn surplus_after_a_good_answer_closes_the_connection_and_fails_no_attempt() {
     for surplus in [
         answer("q1.0"),
         ConnectionEvent::PartialFrame,
@@ -204,13 +210,13 @@
     }
 }
 
-/// The answer to what was given up may cross the giving up: it spoils nothing, but counts only once.
+/// The answer to a cancelled attempt may arrive after the cancellation. It is ignored, but only once.
 #[test]
-fn a_late_answer_to_what_was_given_up_is_passed_over() {
+fn a_late_answer_to_a_cancelled_attempt_is_ignored() {
     let (mut pool, _listener) = pool(limits());
     pool.dispatch(0, sends(1, 2));
-    block_on(pool.connections[&0].connection.next(&Clock::standing()));
-    pool.connections[&0].connection.written();
+    block_on(pool.connections[&0].connection.next_frame(&Clock::standing()));
+    pool.connections[&0].connection.frame_written();
     pool.cancel(10, AttemptId { query: 1, part: 0, attempt: 0 });
     pool.handle_event(20, 0, answer("q1.0"));
     assert_eq!((outcomes(&mut pool, 20), pool.open()), (vec![Outcome::Cancelled], 1));
@@ -218,13 +224,13 @@
     assert_eq!((outcomes(&mut pool, 30), pool.open()), (vec![Outcome::Error], 0));
 }
 
-/// A length that does not fit promises bytes that never come: the attempt must not wait for its whole time.
+/// A frame with a wrong length announces bytes that never come. Its attempt must not wait until its deadline.
 #[test]
-fn a_frame_that_does_not_go_on_is_spoilt() {
+fn a_stalled_frame_closes_its_connection() {
     let (mut pool, _listener) = pool(limits());
     pool.dispatch(0, sends(1, 1));
-    block_on(pool.connections[&0].connection.next(&Clock::standing()));
-    pool.connections[&0].connection.written();
+    block_on(pool.connections[&0].connection.next_frame(&Clock::standing()));
+    pool.connections[&0].connection.frame_written();
     pool.handle_event(10, 0, ConnectionEvent::PartialFrame);
     assert_eq!(pool.due(), 10 + limits().dial_timeout);
     pool.sweep(9 + limits().dial_timeout);
@@ -233,9 +239,9 @@
     assert_eq!((outcomes(&mut pool, SECOND / 2), pool.open()), (vec![Outcome::Error], 0));
 }
 
-/// Every dispatched attempt ends, also where no descriptor is left for it.
+/// Every dispatched attempt ends, even if no descriptor is free for it.
 #[test]
-fn with_no_descriptor_left_an_idle_connection_makes_room_or_the_attempt_ends() {
+fn without_a_free_descriptor_an_idle_connection_is_evicted_or_the_attempt_ends() {
     let (mut pool, listener) = pool(PoolLimits { sockets: 1, ..limits() });
     pool.dispatch(0, sends(1, 1));
     let other = NodeId("s1".into());
@@ -244,14 +250,14 @@
         sends(query, 1).into_iter().map(|s| DispatchedAttempt { server: other.clone(), ..s }).collect()
     };
     pool.dispatch(0, to_other(2));
-    // The server is not to blame.
+    // The outcome does not count against the server.
     assert_eq!(outcomes(&mut pool, 30), [Outcome::NotSent]);
     pool.handle_event(10, 0, answer("q1.0"));
     pool.dispatch(20, to_other(3));
     assert_eq!((outcomes(&mut pool, 30), pool.open()), (vec![Outcome::Served], 1));
 }
 
-/// A part that crosses the server's closing of an idle connection would end as a reset.
+/// A part sent while the server closes the idle connection would end with a reset.
 #[test]
 fn idle_connections_are_closed_before_the_server_does() {
     let (mut pool, _listener) = pool(limits());
@@ -264,9 +270,10 @@
     assert_eq!(pool.open(), 0);
 }
 
-/// Within the drain's grace nothing may go out, not even what waited for a connection when it began.
+/// Nothing may be sent to a server that drains, not even what was queued for a connection when the drain
+/// began.
 #[test]
-fn what_waits_for_a_server_that_leaves_is_taken_back() {
+fn parts_queued_for_a_server_that_leaves_are_withdrawn() {
     let (mut pool, _listener) = pool(limits());
     pool.dispatch(0, sends(1, 2));
     pool.set_endpoint(10, server(), None);
@@ -277,22 +284,22 @@
     assert_eq!((pool.open(), pool.servers.len()), (0, 0));
 }
 
-/// What was not written to its last byte never ran; what was may have, or may yet.
+/// A part that was not written to its last byte never ran. Any other may have run, or may run later.
 #[test]
-fn the_end_of_an_attempt_tells_whether_it_may_have_run() {
+fn the_outcome_tells_whether_an_attempt_may_have_run() {
     let (mut pool, _listener) = pool(limits());
     pool.dispatch(0, sends(1, 1));
     assert_eq!(outcomes(&mut pool, SECOND), [Outcome::NoConnection]);
     pool.dispatch(0, sends(2, 2));
-    let line = pool.connections[&0].connection.clone();
-    block_on(line.next(&Clock::standing()));
+    let connection = pool.connections[&0].connection.clone();
+    block_on(connection.next_frame(&Clock::standing()));
     pool.handle_event(20, 0, broken());
     assert_eq!(outcomes(&mut pool, 30), [Outcome::NoConnection; 2]);
     pool.dispatch(30, sends(3, 1));
     let (executor, inbox) = (pool.executor.clone(), pool.inbox.clone());
-    let line = pool.connections[&1].connection.clone();
+    let connection = pool.connections[&1].connection.clone();
     let written = async {
-        while !line.unwritten().is_empty() {
+        while !connection.unwritten().is_empty() {
             yield_now().await;
         }
     };
@@ -302,48 +309,50 @@
     assert_eq!(outcomes(&mut pool, 30), [Outcome::ConnectionLost]);
 }
 
-/// Over a cut link connections stay open and silent; one that has spoken is kept.
+/// Connections over a cut link stay open and silent. A connection on which something was received is kept.
 #[test]
-fn a_connection_that_stays_silent_is_closed_with_the_attempt_that_waited_in_vain() {
-    for spoke in [false, true] {
+fn a_silent_connection_is_closed_when_its_attempt_times_out() {
+    for answered in [false, true] {
         let (mut pool, _listener) = pool(limits());
         pool.dispatch(0, sends(1, 2));
-        block_on(pool.connections[&0].connection.next(&Clock::standing()));
-        pool.connections[&0].connection.written();
-        if spoke {
+        block_on(pool.connections[&0].connection.next_frame(&Clock::standing()));
+        pool.connections[&0].connection.frame_written();
+        if answered {
             pool.handle_event(100, 0, answer("q1.1"));
         }
         let outcomes = outcomes(&mut pool, SECOND);
         pool.sweep(SECOND);
         assert_eq!(outcomes.last(), Some(&Outcome::TimedOut));
-        assert_eq!(pool.open(), usize::from(spoke));
+        assert_eq!(pool.open(), usize::from(answered));
     }
 }
 
-/// A further attempt at a part must not go out while a stuck socket holds back the giving up of the first.
+/// A further attempt at a part must not be sent while a blocked socket holds back the cancellation of the
+/// first.
 #[test]
-fn a_connection_that_is_stuck_in_a_frame_ends_with_the_first_attempt_given_up() {
+fn a_connection_blocked_within_a_frame_closes_with_the_first_cancelled_attempt() {
     let (mut pool, _listener) = pool(limits());
     pool.dispatch(0, sends(1, 2));
-    block_on(pool.connections[&0].connection.next(&Clock::standing()));
+    block_on(pool.connections[&0].connection.next_frame(&Clock::standing()));
     pool.cancel(SECOND / 2, AttemptId { query: 1, part: 0, attempt: 0 });
     assert_eq!(outcomes(&mut pool, SECOND / 2), [Outcome::Cancelled, Outcome::NoConnection]);
     assert_eq!(pool.open(), 0);
 }
 
-/// Has the connection's task write what waits there.
+/// Marks everything queued on the connection as written.
 fn write_out(pool: &mut Upstream, id: u64) {
-    let line = pool.connections[&id].connection.clone();
-    while !line.unwritten().is_empty() {
-        block_on(line.next(&Clock::standing()));
-        line.written();
+    let connection = pool.connections[&id].connection.clone();
+    while !connection.unwritten().is_empty() {
+        block_on(connection.next_frame(&Clock::standing()));
+        connection.frame_written();
     }
 }
 
-/// One connection of a server falls silent while the others go on: what is sent on it is lost until that shows, and its
-/// emptiness made it the first choice for the next.
+/// One connection of a server falls silent while the others continue. What is sent on it is lost until the
+/// silence is detected, and having the fewest attempts in flight would make it the first choice for the next
+/// call.
 #[test]
-fn a_silent_connection_beside_ones_that_answer_gets_nothing_new() {
+fn a_silent_connection_gets_no_new_calls_while_others_answer() {
     let (mut pool, _listener) = pool(PoolLimits { batch: 1, ..limits() });
     pool.dispatch(0, sends(1, 1));
     pool.dispatch(10, sends(2, 1));
@@ -354,20 +363,20 @@
     for (id, part) in [(1, 0), (2, 1), (3, 2)] {
         pool.handle_event(60_000, id, answer(&format!("q3.{part}")));
     }
-    // Not late yet by four times what answers take.
+    // Less than four times the recent answer time has passed.
     assert!(!pool.is_suspect(60_000, &pool.connections[&0]));
-    let late = 4 * pool.servers[&server()].usual.get();
-    assert!(pool.is_suspect(late, &pool.connections[&0]));
-    pool.cancel(late, AttemptId { query: 1, part: 0, attempt: 0 });
-    pool.sweep(late);
+    let overdue_at = 4 * pool.servers[&server()].recent_answer_time.get();
+    assert!(pool.is_suspect(overdue_at, &pool.connections[&0]));
+    pool.cancel(overdue_at, AttemptId { query: 1, part: 0, attempt: 0 });
+    pool.sweep(overdue_at);
     assert_eq!(
         pool.connections.keys().copied().collect::<Vec<_>>(),
         [1, 2, 3],
-        "it is closed once nothing is out on it"
+        "it is closed once nothing is in flight on it"
     );
 }
 
-/// A server that is slow on all of its connections is no reason to dial anew.
+/// A server that is slow on all of its connections must not cause new connections to be dialled.
 #[test]
 fn a_server_that_answers_nothing_keeps_its_connections() {
     let (mut pool, _listener) = pool(PoolLimits { batch: 1, ..limits() });
@@ -384,99 +393,106 @@
     assert_eq!(pool.open(), 2, "nothing later was answered");
 }
 
-/// Half an answer that does not go on: the next parts go elsewhere, long before it counts as spoilt.
+/// If an answer stops half-way, the next parts use other connections, long before the connection is closed as
+/// corrupt.
 #[test]
-fn nothing_is_sent_behind_an_answer_that_has_stopped() {
+fn nothing_is_sent_behind_a_stalled_answer() {
     let (mut pool, _listener) = pool(PoolLimits { batch: 1, ..limits() });
     pool.dispatch(0, sends(1, 1));
     write_out(&mut pool, 0);
     pool.handle_event(10, 0, ConnectionEvent::PartialFrame);
-    (2..8).for_each(|query| pool.dispatch(10 + HALTED, sends(query, 1)));
-    assert_eq!(pool.connections[&0].out.len(), 1);
+    (2..8).for_each(|query| pool.dispatch(10 + STALLED_AFTER, sends(query, 1)));
+    assert_eq!(pool.connections[&0].in_flight.len(), 1);
 }
 
-const LATE_AT: Micros = SECOND / 4 / LATE_DIAL;
+const OVERDUE_AT: Micros = SECOND / 4 / OVERDUE_DIAL_DIVISOR;
 
-/// A connection may come up a second later while others take a millisecond: waited for, it took its part's time and
-/// counted against its server.
+/// A connection may be established a second late while others take a millisecond. Waiting for it would use up
+/// the part's time and count against its server.
 #[test]
-fn what_waits_for_a_late_connection_goes_by_another() {
+fn a_call_queued_on_an_overdue_dial_moves_to_another_connection() {
     let (mut pool, _listener) = pool(limits());
-    let places = |pool: &Upstream| pool.connections.values().map(|c| c.out.len()).collect::<Vec<_>>();
+    let in_flight_counts =
+        |pool: &Upstream| pool.connections.values().map(|c| c.in_flight.len()).collect::<Vec<_>>();
     pool.dispatch(0, sends(1, 2));
-    assert_eq!(pool.due(), LATE_AT);
-    pool.sweep(LATE_AT - 1);
-    assert_eq!(places(&pool), [2]);
-    pool.sweep(LATE_AT);
-    assert_eq!(places(&pool), [0, 2]);
-    // Its end is nobody's any more.
-    pool.handle_event(LATE_AT, 0, broken());
-    assert_eq!(outcomes(&mut pool, LATE_AT), []);
-    pool.sweep(2 * LATE_AT);
-    assert_eq!(places(&pool), [0, 2]);
-    pool.sweep(3 * LATE_AT);
-    assert_eq!(places(&pool), [0, 0, 2]);
-    // As many as may be on their way at once: it waits for the last.
-    pool.sweep(4 * LATE_AT);
-    assert_eq!(places(&pool), [0, 0, 2]);
-    pool.handle_event(5 * LATE_AT, 3, broken());
-    assert_eq!(outcomes(&mut pool, 5 * LATE_AT), [Outcome::NoConnection; 2]);
-}
-
-/// One that is up and idle by then is better than a further one, and calls that come meanwhile don't wait for the late one.
+    assert_eq!(pool.due(), OVERDUE_AT);
+    pool.sweep(OVERDUE_AT - 1);
+    assert_eq!(in_flight_counts(&pool), [2]);
+    pool.sweep(OVERDUE_AT);
+    assert_eq!(in_flight_counts(&pool), [0, 2]);
+    // Its end affects no attempt any more.
+    pool.handle_event(OVERDUE_AT, 0, broken());
+    assert_eq!(outcomes(&mut pool, OVERDUE_AT), []);
+    pool.sweep(2 * OVERDUE_AT);
+    assert_eq!(in_flight_counts(&pool), [0, 2]);
+    pool.sweep(3 * OVERDUE_AT);
+    assert_eq!(in_flight_counts(&pool), [0, 0, 2]);
+    // The maximum number of connections is being dialled, so the call stays on the last one.
+    pool.sweep(4 * OVERDUE_AT);
+    assert_eq!(in_flight_counts(&pool), [0, 0, 2]);
+    pool.handle_event(5 * OVERDUE_AT, 3, broken());
+    assert_eq!(outcomes(&mut pool, 5 * OVERDUE_AT), [Outcome::NoConnection; 2]);
+}
+
+/// An established connection that is idle by then is preferred to dialling another one, and later calls don't
+/// wait for the overdue one.
 #[test]
-fn what_waits_for_a_late_connection_goes_by_one_that_is_up() {
+fn a_call_queued_on_an_overdue_dial_moves_to_an_established_connection() {
     let (mut pool, _listener) = pool(limits());
     pool.dispatch(0, sends(1, 1));
     write_out(&mut pool, 0);
     pool.dispatch(10, sends(2, 1));
     pool.handle_event(20, 0, answer("q1.0"));
-    pool.sweep(10 + LATE_AT);
-    assert_eq!((pool.open(), pool.connections[&0].out.len(), pool.connections[&1].out.len()), (2, 1, 0));
-    pool.dispatch(20 + LATE_AT, sends(3, 1));
-    assert_eq!((pool.open(), pool.connections[&1].out.len()), (3, 0));
+    pool.sweep(10 + OVERDUE_AT);
+    assert_eq!(
+        (pool.open(), pool.connections[&0].in_flight.len(), pool.connections[&1].in_flight.len()),
+        (2, 1, 0)
+    );
+    pool.dispatch(20 + OVERDUE_AT, sends(3, 1));
+    assert_eq!((pool.open(), pool.connections[&1].in_flight.len()), (3, 0));
 }
 
-/// A connection that does not come up to a server that answers meanwhile tells nothing of that server.
+/// A failed dial says nothing about a server that answers on another connection meanwhile.
 #[test]
-fn one_connection_that_does_not_come_up_is_no_news_of_a_server_that_answers() {
+fn a_failed_dial_does_not_count_against_a_server_that_answers() {
     let (mut pool, _listener) = pool(PoolLimits { sockets: 2, ..limits() });
     pool.dispatch(0, sends(1, 1));
     write_out(&mut pool, 0);
     pool.dispatch(10, sends(2, 1));
     pool.dispatch(20, sends(3, 1));
-    assert_eq!(pool.connections[&0].out.len(), 2);
+    assert_eq!(pool.connections[&0].in_flight.len(), 2);
     pool.handle_event(30, 0, answer("q3.0"));
     pool.handle_event(40, 1, broken());
     assert_eq!(outcomes(&mut pool, 50), [Outcome::Served, Outcome::NotSent]);
 }
 
-/// A frame that the server does not take in time must not go out to its end: a repeat would take effect again.
+/// A frame that the server does not accept in time must not be written to its end, since a repeat would take
+/// effect again.
 #[test]
-fn a_frame_that_the_socket_does_not_take_by_its_moment_is_broken_off() {
+fn a_frame_not_accepted_by_its_write_deadline_is_broken_off() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let clock = Clock::start();
     async_io::block_on(async {
         let stream = async_io::Async::<std::net::TcpStream>::connect(listener.local_addr().unwrap());
         let stream = stream.await.unwrap();
-        // More than the system holds for a peer that does not read.
+        // More than the system buffers for a peer that does not read.
         let frame = vec![0; 64 << 20];
         let written = connection::write_before(&stream, &frame, clock.now() + 50_000, &clock);
         let bound = async {
             async_io::Timer::after(std::time::Duration::from_secs(30)).await;
-            panic!("it waits on");
+            panic!("the write did not time out");
         };
         let error = futures_lite::FutureExt::or(written, bound).await.unwrap_err();
         assert_eq!(error.kind(), std::io::ErrorKind::TimedOut);
     });
 }
 
-/// A server may end a connection, or spoil it, in the moment in which a call is to go out there. What it said is read before
-/// anything is written, so that the call is known never to have run.
+/// A server may end a connection, or send an invalid frame, at the time at which a call is to be written
+/// there. What was received is read before anything is written, so that the call is known never to have run.
 #[test]
-fn nothing_is_written_behind_an_end_that_has_come() {
+fn nothing_is_written_after_the_connection_s_end_was_received() {
     for last in [&b""[..], &[0, 0, 0, 2, b'z', b'z']] {
-        // On a slow machine, too, it comes up in time.
+        // Long enough to be established on a slow machine.
         let (mut pool, listener) = pool(PoolLimits { dial_timeout: 30 * SECOND, ..limits() });
         let (executor, inbox) = (pool.executor.clone(), pool.inbox.clone());
         pool.dispatch(0, sends(1, 1));
@@ -487,7 +503,7 @@
         pool.handle_event(10, 0, answer("q1.0"));
         assert_eq!(outcomes(&mut pool, 10), [Outcome::Served]);
         std::io::Write::write_all(&mut server, last).unwrap();
-        // Dropped with the call unread it would be a reset.
+        // Closing the socket with unread data would send a reset.
         std::io::Read::read(&mut server, &mut [0; 4096]).unwrap();
         drop(server);
         while !has_ended(&listener) {
@@ -505,20 +521,20 @@
     }
 }
 
-/// Whether the end of the one connection to this listener, which its server has closed, has come to the other side: the
-/// system has its word for that (state 05, FIN_WAIT2).
+/// Whether the peer has received the end of the one connection to this listener, which the server side has
+/// closed. The system reports that as state 05 (FIN_WAIT2).
 fn has_ended(listener: &TcpListener) -> bool {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
-    let own = format!("0100007F:{:04X}", listener.local_addr().unwrap().port());
+    let local = format!("0100007F:{:04X}", listener.local_addr().unwrap().port());
     table.lines().any(|line| {
         let fields: Vec<&str> = line.split_whitespace().collect();
-        fields.get(1) == Some(&own.as_str()) && fields.get(3) == Some(&"05")
+        fields.get(1) == Some(&local.as_str()) && fields.get(3) == Some(&"05")
     })
 }
 
-/// What the pool may hold falls: idle connections end at once, those with something out once they are idle.
+/// When the capacity of the pool is reduced, idle connections close at once, and others once they are idle.
 #[test]
-fn a_smaller_room_ends_what_is_idle_first() {
+fn a_smaller_capacity_closes_idle_connections_first() {
     let (mut pool, _listener) = pool(PoolLimits { batch: 1, ..limits() });
     pool.dispatch(0, sends(1, 3));
     pool.handle_event(10, 0, answer("q1.0"));
@@ -530,9 +546,9 @@
     assert_eq!((pool.open(), outcomes(&mut pool, 30)), (1, vec![Outcome::Served; 2]));
 }
 
-/// How a call would go out: on an idle connection, on one with room beside others, or on a new one.
+/// A call would use an idle connection, a connection with capacity beside other calls, or a new one.
 #[test]
-fn the_way_of_a_call_is_known_before_it_is_made() {
+fn the_connection_choice_is_known_before_the_call() {
     let (mut pool, _listener) = pool(PoolLimits { sockets: 1, ..limits() });
     let choice = |pool: &Upstream| pool.connection_choice(0, &server(), 1);
     assert_eq!(
@@ -542,7 +558,7 @@
     pool.dispatch(0, sends(1, 1));
     assert_eq!(choice(&pool), Some(ConnectionChoice::Shared));
     (2..5).for_each(|query| pool.dispatch(0, sends(query, 1)));
-    assert_eq!(choice(&pool), Some(ConnectionChoice::New), "it holds as many parts as a connection may");
+    assert_eq!(choice(&pool), Some(ConnectionChoice::New), "the connection has its maximum number of parts");
     (1..5).for_each(|query| pool.handle_event(10, 0, answer(&format!("q{query}.0"))));
     assert_eq!(choice(&pool), Some(ConnectionChoice::Idle));
     pool.retire(20, 0);
