--- a/crates/broker/src/event_loop.rs
+++ b/crates/broker/src/event_loop.rs
@@ -1,6 +1,7 @@
-//! The turn loop: takes what the sockets brought, asks the decisions, and carries them out.
+//! The broker's event loop: takes what the sockets received, asks the decision module and carries out its
+//! decisions.
 //!
-//! Of what an operator may leave out it knows the seam alone, [`crate::extensions`].
+//! The loop knows the optional components only through [`crate::extensions`].
 
 use crate::doors::Doors;
 use crate::extensions::{Action, Admission, Extensions, TurnEvent, View};
@@ -30,9 +31,10 @@
 use std::rc::Rc;
 use tracing::{debug, info, warn};
 
-/// One broker.
+/// One broker with all its state.
 pub(crate) struct Broker {
     pub(crate) clock: Clock,
+    /// Least time between two turns that are begun because something is due.
     pub(crate) tick: Micros,
     pub(crate) pacing: Pacing,
     pub(crate) files: Files,
@@ -43,43 +45,45 @@
     pub(crate) doors: Doors,
     pub(crate) queries: Queries,
     pub(crate) server_list: ServerList,
-    /// How descriptors are divided.
+    /// Divides descriptors between clients and data servers.
     pub(crate) room: Room,
-    /// The turn's dispatches: they go out together at its end.
+    /// The dispatches of the current turn, which are sent together at its end.
     pub(crate) dispatches: BTreeMap<AttemptId, Dispatch>,
+    /// Attempts that were never sent and are reported in the next turn.
     pub(crate) ended: Vec<EndedAttempt>,
-    /// Queries that an optional part makes wait for the next turn.
-    pub(crate) deferred: Vec<Asked>,
-    /// Refusals on arrival that the log has told of.
+    /// Queries that an extension defers to the next turn.
+    pub(crate) deferred: Vec<ArrivedQuery>,
+    /// Number of refusals on arrival that were logged.
     pub(crate) refusals_logged: u64,
-    /// How long this thread has been busy, and what that comes to for a part.
+    /// How long this thread has been busy.
     pub(crate) busy: Rc<BusyTime>,
     pub(crate) accounted: Accounted,
-    /// What the operator may leave out, so far as it is on.
+    /// The optional components that are switched on.
     pub(crate) extensions: Extensions,
 }
 
-/// What the thread's time until a turn's end was spent on.
+/// The broker's own time for parts and turns, learned from the thread's busy time at the end of each turn.
 #[derive(Debug, Default)]
 pub(crate) struct Accounted {
     own: OwnTime,
-    /// The thread's busy time, and connections dialled, by the end of the last turn.
+    /// The thread's busy time at the end of the last turn.
     busy: Micros,
+    /// Number of connections dialled by the end of the last turn.
     dialled: u64,
 }
 
-/// A query as it comes out of the inbox.
-type Asked = (QueryId, Connection, Ask, Client);
+/// A query as it is taken from the inbox.
+type ArrivedQuery = (QueryId, Connection, Ask, Client);
 
 impl Broker {
-    /// Begins with the list as it is remembered; what is on may have to be waited for.
+    /// Applies the stored list of servers and starts the extensions, which may block for a bounded time.
     pub(crate) fn start(&mut self, scope: ListScope, known: &Targets) {
         self.apply_list(self.clock.now(), scope, known);
         let actions = self.extensions.notify(self.clock.now(), TurnEvent::Start);
-        self.carry_wants(self.clock.now(), actions);
+        self.perform(self.clock.now(), actions);
     }
 
-    /// One turn after another, until the program is to end and has nothing left to do.
+    /// Runs turns until the process is to end and no query is open.
     pub(crate) async fn run(&mut self) {
         loop {
             let now = self.clock.now();
@@ -95,26 +99,27 @@
             let deferred = (!self.deferred.is_empty()).then_some(now);
             let doors = self.doors.due(now + self.tick);
             let view = View { core: &self.core, queries: &self.queries, rev: self.server_list.rev };
-            let parts = self.extensions.due(now, view);
+            let extensions = self.extensions.due(now, view);
             let room = self.room.due(now);
-            let due = [Some(self.core.due()), Some(self.upstream.due()), doors, ended, deferred, parts, room];
+            let due =
+                [Some(self.core.due()), Some(self.upstream.due()), doors, ended, deferred, extensions, room];
             let due = due.into_iter().flatten().min().unwrap_or(Micros::MAX);
-            self.pause(now, due).await;
+            self.wait_for_next_turn(now, due).await;
         }
     }
 
-    /// Waits for the next turn: for something to happen or the next moment that is due. What is due keeps a tick's
-    /// distance; for what happened, the pacing says how long to gather.
-    async fn pause(&self, now: Micros, due: Micros) {
+    /// Waits for the next turn, until something arrives in the inbox or `due`. Turns that are due keep a
+    /// tick's distance; after something arrived, the pacing decides for how long further inputs are gathered.
+    async fn wait_for_next_turn(&self, now: Micros, due: Micros) {
         let due = due.clamp(now + self.tick, now + 1_000_000_000);
         let timer = async {
             Timer::at(self.clock.instant(due)).await;
         };
         self.inbox.wait().or(timer).await;
         loop {
-            let in_hand = self.queries.len() + self.inbox.pending_queries();
+            let open_queries = self.queries.len() + self.inbox.pending_queries();
             let awaited = self.upstream.in_flight().saturating_sub(self.inbox.pending_answers());
-            let next = self.pacing.earliest(now, in_hand, awaited);
+            let next = self.pacing.earliest(now, open_queries, awaited);
             if self.clock.now() >= next {
                 break;
             }
@@ -128,11 +133,11 @@
             }
             self.inbox.wait_for_more().or(time).await;
         }
-        // What else the sockets hold by now comes along.
+        // Lets the other tasks read what the sockets hold by now, so that this turn includes it.
         yield_now().await;
     }
 
-    /// Learns what this thread needs.
+    /// Updates the estimate of the broker's own time after a turn.
     fn account(&mut self, sent: usize, ended: usize) {
         let (total, dials) = (self.busy.total(), self.upstream.dial_count());
         let Accounted { own, busy, dialled } = &mut self.accounted;
@@ -141,18 +146,18 @@
         (*busy, *dialled) = (total, dials);
     }
 
-    /// One turn. So many attempts were sent, and so many have ended.
+    /// Runs one turn. Returns the numbers of attempts sent and of attempts that ended.
     async fn turn(&mut self, now: Micros) -> (usize, usize) {
         let view = View { core: &self.core, queries: &self.queries, rev: self.server_list.rev };
         let actions = self.extensions.notify(now, TurnEvent::TurnStart(view));
-        self.carry_wants(now, actions);
-        let mut asks = std::mem::take(&mut self.deferred);
+        self.perform(now, actions);
+        let mut arrived = std::mem::take(&mut self.deferred);
         let mut calls = Vec::new();
         for input in self.inbox.take() {
             match input {
-                Input::Query(id, connection, ask, client) => asks.push((id, connection, ask, client)),
+                Input::Query(id, connection, ask, client) => arrived.push((id, connection, ask, client)),
                 Input::ClientGone(id) => {
-                    asks.retain(|(ask, ..): &Asked| *ask != id);
+                    arrived.retain(|(query, ..): &ArrivedQuery| *query != id);
                     self.core.leave(id);
                     self.queries.client_gone(now, id);
                 }
@@ -161,29 +166,29 @@
                     self.apply_list(now, targets.scope(), &targets);
                     if targets.all {
                         let actions = self.extensions.notify(now, TurnEvent::WholeList);
-                        self.carry_wants(now, actions);
+                        self.perform(now, actions);
                     }
                 }
                 Input::Reload => self.reload(now),
                 Input::Terminate => self.terminate(now),
-                // Its part has heard it above.
+                // The extension has handled it at the start of the turn.
                 Input::Extension => {}
                 Input::Operator(call, answer) => calls.push((call, answer)),
             }
         }
         let view = View { core: &self.core, queries: &self.queries, rev: self.server_list.rev };
         let actions = self.extensions.notify(now, TurnEvent::InputTaken(view));
-        self.carry_wants(now, actions);
+        self.perform(now, actions);
         let reports = self.take_reports(now);
         let ended = reports.len();
         let decisions = self.core.report(now, reports);
         self.carry_out(now, decisions);
-        let queries = self.admit(now, asks);
+        let queries = self.admit(now, arrived);
         let decisions = self.core.pick(now, queries);
         self.carry_out(now, decisions);
         let decisions = self.core.tick(now);
         self.carry_out(now, decisions);
-        self.look_at_clients(now).await;
+        self.end_abandoned_queries(now).await;
         let sent = self.dispatches.len();
         self.send_all(now);
         for query in self.queries.take_ended() {
@@ -191,31 +196,32 @@
         }
         self.upstream.sweep(now);
         for (call, answer) in calls {
-            // A caller that has gone needs none.
+            // The caller may have gone.
             let _ = answer.try_send(self.operate(now, call));
         }
         (sent, ended)
     }
 
-    /// Does what optional parts want done.
-    fn carry_wants(&mut self, now: Micros, actions: Vec<Action>) {
+    /// Performs the actions that extensions requested.
+    fn perform(&mut self, now: Micros, actions: Vec<Action>) {
         self.queries.record_updates(self.extensions.wants_updates());
-        for want in actions {
-            match want {
+        for action in actions {
+            match action {
                 Action::Restore(recall) => {
-                    let told = self.extensions.notify(now, TurnEvent::StateReceived);
-                    self.carry_wants(now, told);
-                    // The list that is known at the start waits for the first turn; this is about its servers.
+                    let actions = self.extensions.notify(now, TurnEvent::StateReceived);
+                    self.perform(now, actions);
+                    // The list applied at the start takes effect with a tick, and the snapshot refers to its
+                    // servers.
                     let decisions = self.core.tick(now);
                     self.carry_out(now, decisions);
                     self.core.remember(now, 0, &recall);
                     self.server_list.apply_drains(now, &recall, &mut self.core, &mut self.upstream);
                 }
                 Action::ApplyUpdate(word) => self.queries.apply_update(now, word),
-                Action::SetProcessCount(copies) => {
-                    self.core.set_copies(copies);
-                    self.queries.set_process_count(copies);
-                    self.room.set_copies(copies);
+                Action::SetProcessCount(processes) => {
+                    self.core.set_copies(processes);
+                    self.queries.set_process_count(processes);
+                    self.room.set_copies(processes);
                     self.room.share_out(now, 0, &self.doors.fronts, &mut self.upstream);
                 }
                 Action::RecheckReadiness => self.doors.open(self.extensions.not_ready_reason().is_some()),
@@ -223,7 +229,8 @@
         }
     }
 
-    /// Clients that are connected are served for as long as that can be over before the process is ended.
+    /// Starts the shutdown. Connected clients are served for as long as that can be finished before the
+    /// process is killed.
     fn terminate(&mut self, now: Micros) {
         let ending = Ending::of(self.core.longest_wait(now));
         let superseded = self.extensions.siblings().is_some_and(Neighbours::has_newer);
@@ -233,11 +240,11 @@
         }
     }
 
-    /// Takes queries up, so far as all parts let them in.
-    fn admit(&mut self, now: Micros, asks: Vec<Asked>) -> Vec<Query> {
+    /// Admits the queries that all extensions admit, and returns them for the decision module.
+    fn admit(&mut self, now: Micros, arrived: Vec<ArrivedQuery>) -> Vec<Query> {
         self.core.set_elsewhere(self.extensions.siblings().map_or(0, Neighbours::units));
         let mut queries = Vec::new();
-        for (id, connection, ask, client) in asks {
+        for (id, connection, ask, client) in arrived {
             match self.extensions.admit(now, &ask) {
                 Admission::Refused => self.queries.refuse(&ask, &client),
                 Admission::Deferred => self.deferred.push((id, connection, ask, client)),
@@ -250,14 +257,16 @@
         queries
     }
 
-    /// Ends the queries that the turn would send something for, and whose clients have gone since it began or were not yet
-    /// read: their tasks run on this thread too, and those that the system woke with this turn may not have had theirs.
-    async fn look_at_clients(&mut self, now: Micros) {
-        let mut asked: Vec<QueryId> = self.dispatches.keys().map(|attempt| attempt.query).collect();
-        asked.dedup();
-        let clients: Vec<_> = asked.iter().filter_map(|id| self.queries.presence(*id)).cloned().collect();
+    /// Ends the queries that the turn would send something for and whose clients have gone without the turn
+    /// knowing it. The clients' tasks run on this thread too, and those that became ready with this turn may
+    /// not have run yet.
+    async fn end_abandoned_queries(&mut self, now: Micros) {
+        let mut dispatched: Vec<QueryId> = self.dispatches.keys().map(|attempt| attempt.query).collect();
+        dispatched.dedup();
+        let clients: Vec<_> =
+            dispatched.iter().filter_map(|id| self.queries.presence(*id)).cloned().collect();
         refresh_presence(&clients).await;
-        for id in asked {
+        for id in dispatched {
             if self.queries.presence(id).is_some_and(|client| !client.is_waiting()) {
                 self.core.leave(id);
                 self.queries.client_gone(now, id);
@@ -265,7 +274,8 @@
         }
     }
 
-    /// Sends what the turn has decided to. A part of a key of which other processes of this broker may not know is held.
+    /// Sends the turn's dispatches. A part under a key that other processes of this broker may not know of is
+    /// not sent.
     fn send_all(&mut self, now: Micros) {
         let dispatches = std::mem::take(&mut self.dispatches);
         self.room.share_out(now, dispatches.len(), &self.doors.fronts, &mut self.upstream);
@@ -277,21 +287,21 @@
             self.core.leave(query);
             self.finish(now, query, Verdict::Refuse { retry_after });
         }
-        let go = fitted.go.into_iter();
+        let groups = fitted.go.into_iter();
         let mut sends: Vec<Vec<DispatchedAttempt>> =
-            go.map(|of| of.into_iter().filter_map(|d| self.send(now, d)).collect()).collect();
-        let words = self.queries.take_updates();
-        let actions = self.extensions.notify(now, TurnEvent::Decided(&words));
-        self.carry_wants(now, actions);
-        if self.extensions.siblings().is_some_and(|beside| beside.keyed(now) != Keyed::May) {
-            let held = sends.iter_mut().flat_map(|of| of.extract_if(.., |send| send.key.is_some()));
-            self.ended.extend(held.map(|send| never_sent(send.attempt)));
+            groups.map(|group| group.into_iter().filter_map(|d| self.prepare(now, d)).collect()).collect();
+        let messages = self.queries.take_updates();
+        let actions = self.extensions.notify(now, TurnEvent::Decided(&messages));
+        self.perform(now, actions);
+        if self.extensions.siblings().is_some_and(|siblings| siblings.keyed(now) != Keyed::May) {
+            let withheld = sends.iter_mut().flat_map(|group| group.extract_if(.., |send| send.key.is_some()));
+            self.ended.extend(withheld.map(|send| never_sent(send.attempt)));
         }
-        sends.into_iter().for_each(|of| self.upstream.dispatch(now, of));
+        sends.into_iter().for_each(|group| self.upstream.dispatch(now, group));
     }
 
     fn operate(&mut self, now: Micros, call: Call) -> (u16, String) {
-        let figures = || {
+        let metrics = || {
             let (discovered, ejected) = self.core.census(now);
             let mut census = Census {
                 forwards: self.upstream.forwards(),
@@ -307,14 +317,14 @@
             self.extensions.report_gauges(&mut census);
             self.queries.render_metrics(&census)
         };
-        self.doors.operate(now, call, self.extensions.not_ready_reason(), self.queries.len(), figures)
+        self.doors.operate(now, call, self.extensions.not_ready_reason(), self.queries.len(), metrics)
     }
 
     fn apply_list(&mut self, now: Micros, scope: ListScope, targets: &Targets) {
         self.server_list.apply(now, scope, targets, &mut self.core, &mut self.upstream);
     }
 
-    /// Goes by other settings, each part of the program for itself.
+    /// Reads the configuration again and applies it to each component.
     fn reload(&mut self, now: Micros) {
         let Some(Fresh { config, limits, placed }) = self.files.reread(now, &self.core) else { return };
         self.doors.fronts.set_limits(limits);
@@ -327,7 +337,7 @@
         self.queries.reset_tenants(&placed.tenants_begun);
         let quarantine = quarantine(&placed.settings);
         let actions = self.extensions.notify(now, TurnEvent::Reconfigured { quarantine });
-        self.carry_wants(now, actions);
+        self.perform(now, actions);
         self.core.retune(&placed, config.max_open, now + BINDS);
         self.upstream.set_limits(config.pool);
         self.doors.fronts.change(now, self.files.terms(&placed.settings, &placed.names));
@@ -335,18 +345,19 @@
         self.discovery.move_to(config.discovery, Times::within(millis(config.settings.ask_within)));
     }
 
-    /// What ended since the last turn, for the decisions; the values stay here, with their queries.
+    /// Reports for the attempts that ended since the last turn. Their values stay with their queries and are
+    /// not reported.
     fn take_reports(&mut self, now: Micros) -> Vec<Report> {
         let mut ended = std::mem::take(&mut self.ended);
         ended.extend(self.upstream.take_ended(now));
-        let report = |mut e: EndedAttempt| {
-            self.queries.attempt_ended(now, &mut e);
+        let report = |mut attempt: EndedAttempt| {
+            self.queries.attempt_ended(now, &mut attempt);
             Report {
-                attempt: e.attempt,
-                outcome: e.outcome,
-                elapsed: e.elapsed,
-                load: e.load,
-                connected: e.connected_at,
+                attempt: attempt.attempt,
+                outcome: attempt.outcome,
+                elapsed: attempt.elapsed,
+                load: attempt.load,
+                connected: attempt.connected_at,
             }
         };
         ended.into_iter().map(report).collect()
@@ -359,10 +370,10 @@
         if decisions.overdue > 0 {
             warn!(name: "overdue", queries = decisions.overdue);
         }
-        self.tell_refusals();
+        self.log_refusals();
         for attempt in decisions.give_up {
             if self.dispatches.remove(&attempt).is_some() {
-                // Called off in the turn that asked for it.
+                // Cancelled in the turn that dispatched it.
                 self.ended.push(never_sent(attempt));
             } else {
                 self.upstream.cancel(now, attempt);
@@ -374,8 +385,8 @@
         self.dispatches.extend(decisions.dispatches.into_iter().map(|d| (d.attempt, d)));
     }
 
-    /// Logs the counts of refusals on arrival where they have grown, with the terms of the newest.
-    fn tell_refusals(&mut self) {
+    /// Logs the counts of refusals on arrival if they have grown, with the terms of the newest refusal.
+    fn log_refusals(&mut self) {
         let refusals = self.core.refusals();
         let logged = std::mem::replace(&mut self.refusals_logged, refusals.total());
         let Refusals { past_aim, mean, slowest, own, lag, newest, probes } = refusals;
@@ -391,7 +402,7 @@
         let actions = self
             .extensions
             .notify(now, TurnEvent::QueryEnded { answered: matches!(verdict, Verdict::Answer { .. }) });
-        self.carry_wants(now, actions);
+        self.perform(now, actions);
         self.queries.finish(now, query, |values| match verdict {
             Verdict::Refuse { retry_after } => Reply::Refused { retry_after },
             Verdict::Fail => Reply::Failed,
@@ -399,14 +410,15 @@
         });
     }
 
-    /// A dispatch with all that its frame needs. `None`: it does not go out.
-    fn send(&mut self, now: Micros, d: Dispatch) -> Option<DispatchedAttempt> {
-        let attempt = d.attempt;
-        match self.queries.prepare(now, d) {
-            Ok(send) => return Some(send),
+    /// Completes a dispatch with everything that its frame needs; `None` if it is not sent.
+    fn prepare(&mut self, now: Micros, dispatch: Dispatch) -> Option<DispatchedAttempt> {
+        let attempt = dispatch.attempt;
+        match self.queries.prepare(now, dispatch) {
+            Ok(dispatched) => return Some(dispatched),
             Err(Withheld::QueryEnded) => {}
             Err(Withheld::Repeat) => {
-                // An earlier query of its key may have run this part: this one can be neither served nor refused.
+                // An earlier query with the same key may have run this part, so this query can be neither
+                // served nor refused.
                 self.core.leave(attempt.query);
                 self.queries.finish(now, attempt.query, |_| Reply::Failed);
             }
@@ -416,6 +428,7 @@
     }
 }
 
+/// The end of an attempt that was dispatched by the decision module but never sent.
 fn never_sent(attempt: AttemptId) -> EndedAttempt {
     EndedAttempt {
         attempt,
--- a/crates/broker/src/extensions.rs
+++ b/crates/broker/src/extensions.rs
@@ -1,10 +1,11 @@
-//! The seam between the turn loop and the extensions that an operator may leave out.
+//! The interface between the event loop and the optional components that an operator may switch off.
 //!
-//! The loop knows no such extension by name. It tells all that are on what happens in a turn ([`TurnEvent`]), carries out what they
-//! want ([`Action`]), asks them what bears on it, and wakes when one is due. One that is off is not in the list: a turn
-//! costs nothing for it, see the test.
+//! The loop knows no such component by name. It notifies all extensions that are switched on of what happens
+//! in a turn ([`TurnEvent`]), performs the actions that they request ([`Action`]), asks them whether queries
+//! are admitted, and begins a turn when one of them is due. An extension that is switched off is not in the
+//! list and costs a turn nothing, as a test checks.
 //!
-//! A extension owns its own state and sockets, and sees the rest of the broker in a [`View`] alone.
+//! An extension owns its state and its sockets, and sees the rest of the broker only through a [`View`].
 
 use crate::queries::Queries;
 use plover_core::Core;
@@ -15,149 +16,156 @@
 use plover_model::time::Micros;
 use plover_ops::Census;
 
-/// What a extension may see of the broker.
+/// What an extension may see of the broker.
 #[derive(Clone, Copy)]
 pub(crate) struct View<'a> {
     pub(crate) core: &'a Core,
     pub(crate) queries: &'a Queries,
-    /// The version of the list in force.
+    /// The revision of the server list in force.
     pub(crate) rev: u64,
 }
 
 impl View<'_> {
-    /// Whether the list in force names a server.
+    /// Whether the server list in force names any server.
     pub(crate) fn has_list(&self) -> bool {
         self.core.has_servers()
     }
 }
 
-/// What a extension is told, in the order of a turn.
+/// What extensions are notified of, in the order of a turn.
 #[derive(Clone, Copy)]
 pub(crate) enum TurnEvent<'a> {
-    /// Before the first turn, once. A extension may hold up the start here, for a time that it bounds.
+    /// The broker starts; sent once before the first turn. An extension may block the start for a bounded
+    /// time.
     Start,
-    /// A turn begins; nothing that waits for it has been taken yet.
+    /// A turn begins; nothing has been taken from the inbox yet.
     TurnStart(View<'a>),
-    /// Discovery has told a whole list.
+    /// Discovery has sent a complete server list.
     WholeList,
-    /// All that waited has been taken, and nothing is decided yet.
+    /// Everything in the inbox has been taken, and no decision has been made yet.
     InputTaken(View<'a>),
-    /// A query has ended: with an answer or not.
+    /// A query has ended.
     QueryEnded {
-        /// With an answer.
+        /// Whether it ended with an answer.
         answered: bool,
     },
-    /// All is decided, and the turn's attempts go out next: what has been noted of its queries since the last time.
+    /// All decisions are made, and the turn's attempts are sent next. Carries the messages about queries that
+    /// were recorded since the last such event.
     Decided(&'a [Word]),
-    /// What another process of this broker knew has been taken: that one serves.
+    /// The state of another process of this broker, which is serving, has been received.
     StateReceived,
-    /// Other settings hold: keys of a process of which nothing is known may come back for so long after its end.
+    /// New settings are in effect.
     Reconfigured {
-        /// That time.
+        /// Time for which the keys of a process of which nothing is known may come back after its end.
         quarantine: Micros,
     },
 }
 
-/// What a extension wants done, at once and in this order.
+/// What an extension requests. Actions are performed at once, in the order of the requests.
 pub(crate) enum Action {
-    /// Begin with what another process of this broker knew.
+    /// Start from the snapshot of another process of this broker.
     Restore(Box<Recall>),
-    /// Take what another process of this broker did with a key.
+    /// Record what another process of this broker did with a key.
     ApplyUpdate(Word),
-    /// So many processes are this broker.
+    /// Set the number of processes of this broker.
     SetProcessCount(u32),
-    /// What the extension shut is to be looked at again: it may be open.
+    /// Check again whether the broker is ready: the extension may no longer prevent it.
     RecheckReadiness,
 }
 
-/// Whether a query that has come is let in.
+/// Whether a query that has arrived is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
-    /// It is.
+    /// The query is admitted.
     Admitted,
-    /// It waits for the next turn.
+    /// The query waits for the next turn.
     Deferred,
-    /// It is refused: trying again is harmless.
+    /// The query is refused; a retry is harmless.
     Refused,
 }
 
-/// A extension that may be off.
+/// An optional component of the broker.
 pub(crate) trait Extension {
-    /// Takes what happened, and says what it wants done.
-    fn on_event(&mut self, now: Micros, what: TurnEvent<'_>, actions: &mut Vec<Action>);
+    /// Handles an event and appends the actions that it requests.
+    fn on_event(&mut self, now: Micros, event: TurnEvent<'_>, actions: &mut Vec<Action>);
 
-    /// When it wants a turn, if nothing happens before.
+    /// When the extension needs a turn, if nothing happens before; `None` if it needs none.
     fn due(&self, now: Micros, view: View<'_>) -> Option<Micros>;
 
-    /// Whether a query is let in.
+    /// Whether a query is admitted.
     fn admit(&mut self, _now: Micros, _ask: &Ask) -> Admission {
         Admission::Admitted
     }
 
-    /// Why the broker is not ready, if the extension keeps it from that.
+    /// Why the broker is not ready; `None` if the extension does not prevent it.
     fn not_ready_reason(&self) -> Option<String> {
         None
     }
 
-    /// Whether it wants to hear what is noted of queries, see [`TurnEvent::Decided`].
+    /// Whether messages about queries are to be recorded for [`TurnEvent::Decided`].
     fn wants_updates(&self) -> bool {
         false
     }
 
-    /// Enters its own figures.
+    /// Sets the extension's own gauges.
     fn report_gauges(&self, _census: &mut Census) {}
 
-    /// Other processes that are this broker. One extension at most knows of any.
+    /// The other processes of this broker. At most one extension returns them.
     fn siblings(&self) -> Option<&Neighbours> {
         None
     }
 }
 
-/// The extensions that are on, in the order in which they are told and asked.
+/// The extensions that are switched on, in the order in which they are notified and asked.
 #[derive(Default)]
 pub(crate) struct Extensions(Vec<Box<dyn Extension>>);
 
 impl Extensions {
-    /// Puts a extension last.
+    /// Appends an extension.
     pub(crate) fn add(&mut self, extension: impl Extension + 'static) {
         self.0.push(Box::new(extension));
     }
 
-    /// Tells all; what they want done is to be carried out before anything else is told.
-    pub(crate) fn notify(&mut self, now: Micros, what: TurnEvent<'_>) -> Vec<Action> {
-        // Holds no memory until somebody wants something.
+    /// Notifies all extensions and returns the actions that they request. The caller performs these before it
+    /// sends any other event.
+    pub(crate) fn notify(&mut self, now: Micros, event: TurnEvent<'_>) -> Vec<Action> {
+        // Allocates nothing until an extension requests an action.
         let mut actions = Vec::new();
-        self.0.iter_mut().for_each(|extension| extension.on_event(now, what, &mut actions));
+        self.0.iter_mut().for_each(|extension| extension.on_event(now, event, &mut actions));
         actions
     }
 
-    /// When the first of them wants a turn.
+    /// The earliest time at which any extension needs a turn.
     pub(crate) fn due(&self, now: Micros, view: View<'_>) -> Option<Micros> {
         self.0.iter().filter_map(|extension| extension.due(now, view)).min()
     }
 
-    /// Whether a query is let in: the first extension that does not let it in has the say, and those behind are not asked.
+    /// Whether a query is admitted. The first extension that does not admit it decides, and the later ones
+    /// are not asked.
     pub(crate) fn admit(&mut self, now: Micros, ask: &Ask) -> Admission {
-        let entries = self.0.iter_mut().map(|extension| extension.admit(now, ask));
-        entries.into_iter().find(|entry| *entry != Admission::Admitted).unwrap_or(Admission::Admitted)
+        let admissions = self.0.iter_mut().map(|extension| extension.admit(now, ask));
+        admissions
+            .into_iter()
+            .find(|admission| *admission != Admission::Admitted)
+            .unwrap_or(Admission::Admitted)
     }
 
-    /// Why the broker is not ready, where a extension keeps it from that.
+    /// Why the broker is not ready, from the first extension that prevents it.
     pub(crate) fn not_ready_reason(&self) -> Option<String> {
         self.0.iter().find_map(|extension| extension.not_ready_reason())
     }
 
-    /// Whether any wants to hear what is noted of queries.
+    /// Whether any extension needs messages about queries.
     pub(crate) fn wants_updates(&self) -> bool {
         self.0.iter().any(|extension| extension.wants_updates())
     }
 
-    /// Enters the figures of all.
+    /// Sets the gauges of all extensions.
     pub(crate) fn report_gauges(&self, census: &mut Census) {
         self.0.iter().for_each(|extension| extension.report_gauges(census));
     }
 
-    /// Other processes that are this broker.
+    /// The other processes of this broker, if any extension knows them.
     pub(crate) fn siblings(&self) -> Option<&Neighbours> {
         self.0.iter().find_map(|extension| extension.siblings())
     }
@@ -185,18 +193,23 @@
         }
     }
 
-    /// All that a turn with one query says to extensions and asks of them.
+    /// Makes all calls to extensions that a turn with one query makes.
     #[inline(never)]
-    fn seam_of_a_turn(extensions: &mut Extensions, now: Micros, view: View<'_>, ask: &Ask) -> Option<Micros> {
-        let told = [
+    fn calls_of_a_turn(
+        extensions: &mut Extensions,
+        now: Micros,
+        view: View<'_>,
+        ask: &Ask,
+    ) -> Option<Micros> {
+        let events = [
             TurnEvent::TurnStart(view),
             TurnEvent::WholeList,
             TurnEvent::InputTaken(view),
             TurnEvent::QueryEnded { answered: true },
             TurnEvent::Decided(&[]),
         ];
-        for what in told {
-            black_box((extensions.notify(now, what).len(), extensions.wants_updates()));
+        for event in events {
+            black_box((extensions.notify(now, event).len(), extensions.wants_updates()));
         }
         let mut census = Census::default();
         extensions.report_gauges(&mut census);
@@ -209,12 +222,12 @@
         extensions.due(now, view)
     }
 
-    /// Refuses all, wants something at each turn's begin, and is due at once.
-    struct Sentry;
+    /// Refuses all queries, requests an action at the start of each turn and is due at once.
+    struct Refusing;
 
-    impl Extension for Sentry {
-        fn on_event(&mut self, _now: Micros, what: TurnEvent<'_>, actions: &mut Vec<Action>) {
-            if matches!(what, TurnEvent::TurnStart(_)) {
+    impl Extension for Refusing {
+        fn on_event(&mut self, _now: Micros, event: TurnEvent<'_>, actions: &mut Vec<Action>) {
+            if matches!(event, TurnEvent::TurnStart(_)) {
                 actions.push(Action::RecheckReadiness);
             }
         }
@@ -226,11 +239,11 @@
         }
     }
 
-    /// One that lets all in but says that it comes too late to matter.
-    struct Porter;
+    /// Defers all queries and is due a microsecond later.
+    struct Deferring;
 
-    impl Extension for Porter {
-        fn on_event(&mut self, _now: Micros, _what: TurnEvent<'_>, _wants: &mut Vec<Action>) {}
+    impl Extension for Deferring {
+        fn on_event(&mut self, _now: Micros, _event: TurnEvent<'_>, _actions: &mut Vec<Action>) {}
         fn due(&self, now: Micros, _view: View<'_>) -> Option<Micros> {
             Some(now + 1)
         }
@@ -240,29 +253,29 @@
     }
 
     #[test]
-    fn a_part_that_is_off_costs_a_turn_nothing() {
+    fn an_extension_that_is_switched_off_costs_a_turn_nothing() {
         let core = Core::new(settings(), 10, 1);
         let queries = Queries::new(&settings(), &Default::default(), 10, 1, 0);
         let (view, ask) = (View { core: &core, queries: &queries, rev: 0 }, ask());
         let mut extensions = Extensions::default();
-        let off = measure(|| assert_eq!(seam_of_a_turn(&mut extensions, 5, view, &ask), None));
+        let off = measure(|| assert_eq!(calls_of_a_turn(&mut extensions, 5, view, &ask), None));
         assert_eq!(off.count_total, 0);
-        // The counter counts, and one that is on has its say.
-        extensions.add(Sentry);
-        let on = measure(|| assert_eq!(seam_of_a_turn(&mut extensions, 5, view, &ask), Some(5)));
+        // The counter works, and an extension that is switched on is called.
+        extensions.add(Refusing);
+        let on = measure(|| assert_eq!(calls_of_a_turn(&mut extensions, 5, view, &ask), Some(5)));
         assert!(on.count_total > 0);
     }
 
     #[test]
-    fn the_first_that_does_not_let_a_query_in_has_the_say_and_the_earliest_wakes() {
+    fn the_first_extension_that_does_not_admit_a_query_decides_and_the_earliest_due_time_counts() {
         let core = Core::new(settings(), 10, 1);
         let queries = Queries::new(&settings(), &Default::default(), 10, 1, 0);
         let (view, ask) = (View { core: &core, queries: &queries, rev: 0 }, ask());
         let mut extensions = Extensions::default();
         assert_eq!((extensions.admit(5, &ask), extensions.due(5, view)), (Admission::Admitted, None));
-        extensions.add(Porter);
+        extensions.add(Deferring);
         assert_eq!((extensions.admit(5, &ask), extensions.due(5, view)), (Admission::Deferred, Some(6)));
-        extensions.add(Sentry);
+        extensions.add(Refusing);
         assert_eq!((extensions.admit(5, &ask), extensions.due(5, view)), (Admission::Deferred, Some(5)));
         assert_eq!(extensions.notify(5, TurnEvent::TurnStart(view)).len(), 1);
     }
--- a/crates/broker/src/inbox.rs
+++ b/crates/broker/src/inbox.rs
@@ -1,4 +1,5 @@
-//! What the turn loop has yet to see. Tasks on sockets put it in; the loop takes all of it once a turn.
+//! The queue of inputs for the event loop. The tasks of sockets add inputs, and the loop takes all of them
+//! once a turn.
 
 use async_channel::{Receiver, Sender};
 use futures_lite::future::yield_now;
@@ -14,193 +15,199 @@
 use std::rc::Rc;
 use std::task::Waker;
 
-/// So often a look at clients gives way to their tasks: a hundred and more run each time. One that sends without end must
-/// not hold up all others.
-const STEPS: usize = 16;
+/// Maximum number of times that [`refresh_presence`] yields to the tasks of clients. A hundred and more tasks
+/// run each time. A client that sends without end must not block all others.
+const MAX_YIELDS: usize = 16;
 
 /// Something that happened since the last turn.
 pub enum Input {
-    /// A client asks, on its connection.
+    /// A query of a client, with the number of the client's connection.
     Query(QueryId, Connection, Ask, Client),
     /// The client of a query has gone.
     ClientGone(QueryId),
-    /// A connection to a data server has news.
+    /// An event of a connection to a data server, with the connection's id.
     Connection(u64, ConnectionEvent),
-    /// Discovery has news.
+    /// A server list or changes to it, from discovery.
     Targets(Targets),
     /// The configuration is to be read again.
     Reload,
-    /// The program is to end.
+    /// The process is to end.
     Terminate,
-    /// Something came for an optional part, which takes it itself when the turn begins.
+    /// An extension has received something, which it takes itself when the turn begins.
     Extension,
-    /// An operator calls; the answer is a status and a text.
+    /// A call of an operator. The answer is a status code and a text.
     Operator(Call, Sender<(u16, String)>),
 }
 
-/// News of a connection to a data server.
+/// An event of a connection to a data server.
 pub enum ConnectionEvent {
-    /// A frame has come.
+    /// A frame was received.
     Frame(FromServer),
-    /// A frame has begun and is not all there yet.
+    /// A frame was received in part.
     PartialFrame,
-    /// The moment has passed by which something that waited there was to be written.
+    /// The write deadline of a queued part has passed.
     Expired,
-    /// The connection has ended or never came up.
+    /// The connection has ended or could not be established.
     Closed(io::Error),
-    /// A frame came that cannot be read. The connection has ended: nothing tells where the next one begins.
+    /// A frame was received that cannot be decoded. The connection has ended, since the start of the next
+    /// frame is unknown.
     BadFrame(BadFrame),
 }
 
-/// Whether a client still waits for its query: for all that may begin an attempt in its name.
+/// Tells whether a client still waits for its query, to everything that may send an attempt for it.
 #[derive(Debug, Default)]
 pub struct Presence {
-    over: Cell<bool>,
-    /// So often its task looked at its connection and found nothing further.
-    looks: Cell<usize>,
-    /// So many looks show all that the system holds.
-    needed: usize,
+    ended: Cell<bool>,
+    /// Number of times that the client's task polled its connection and found nothing further.
+    empty_polls: Cell<usize>,
+    /// Number of empty polls after which everything that the system holds has been read.
+    polls_needed: usize,
     task: RefCell<Option<Waker>>,
 }
 
 impl Presence {
-    /// Whether it waits, as far as is known.
+    /// Whether the client waits, as far as is known.
     pub fn is_waiting(&self) -> bool {
-        !self.over.get()
+        !self.ended.get()
     }
 
-    fn look_again(&self) {
+    fn wake_task(&self) {
         if let Some(task) = &*self.task.borrow() {
             task.wake_by_ref();
         }
     }
 }
 
-/// Has the tasks of clients read what the system holds by now, so that one that has gone is known to have gone.
+/// Lets the tasks of clients read what the system holds by now, so that clients that have gone are known to
+/// have gone.
 pub async fn refresh_presence(clients: &[Rc<Presence>]) {
-    let until: Vec<_> = clients.iter().map(|c| c.looks.get() + c.needed).collect();
-    for _ in 0..STEPS {
-        let ahead = |(c, until): &(&Rc<Presence>, &usize)| c.is_waiting() && c.looks.get() < **until;
-        let ahead: Vec<_> = clients.iter().zip(&until).filter(ahead).collect();
-        if ahead.is_empty() {
+    let targets: Vec<_> = clients.iter().map(|c| c.empty_polls.get() + c.polls_needed).collect();
+    for _ in 0..MAX_YIELDS {
+        let is_behind =
+            |(c, target): &(&Rc<Presence>, &usize)| c.is_waiting() && c.empty_polls.get() < **target;
+        let behind: Vec<_> = clients.iter().zip(&targets).filter(is_behind).collect();
+        if behind.is_empty() {
             return;
         }
-        ahead.into_iter().for_each(|(client, _)| client.look_again());
+        behind.into_iter().for_each(|(client, _)| client.wake_task());
         yield_now().await;
     }
 }
 
-/// The way to a client that waits.
+/// The channel to a client that waits for a reply.
 pub struct Client {
     reply: Sender<Reply>,
     presence: Rc<Presence>,
 }
 
 impl Client {
-    /// One that shows in so many looks, and where its reply comes.
-    pub(crate) fn new(needed: usize) -> (Client, Receiver<Reply>) {
-        let (reply, comes) = async_channel::bounded(1);
-        (Client { reply, presence: Rc::new(Presence { needed, ..Presence::default() }) }, comes)
+    /// Creates the channel, with the receiver of its reply. `polls_needed` is the number of empty polls after
+    /// which it is known whether the client has gone.
+    pub(crate) fn new(polls_needed: usize) -> (Client, Receiver<Reply>) {
+        let (reply, receiver) = async_channel::bounded(1);
+        (Client { reply, presence: Rc::new(Presence { polls_needed, ..Presence::default() }) }, receiver)
     }
 
-    /// Gives it its one reply. One that has just gone needs none.
+    /// Sends the one reply. It is dropped if the client has just gone.
     pub fn answer(&self, reply: Reply) {
         let _ = self.reply.try_send(reply);
     }
 
-    /// Whether it waits.
+    /// Tells whether the client waits.
     pub fn presence(&self) -> &Rc<Presence> {
         &self.presence
     }
 }
 
 impl Drop for Client {
-    /// Nothing is owed to it any more.
+    /// Marks the client as no longer waiting.
     fn drop(&mut self) {
-        self.presence.over.set(true);
+        self.presence.ended.set(true);
     }
 }
 
-/// The queue between the tasks and the turn loop. Its length is bounded by what feeds it: each client
-/// connection has so many queries as its front lets it, and each data server connection answers what is out on it.
+/// The queue between the tasks and the event loop. Its length is bounded by its sources: the front limits the
+/// number of queries on each client connection, and each connection to a data server answers only what is in
+/// flight on it.
 pub struct Inbox {
     queue: RefCell<Vec<Input>>,
-    bell: (Sender<()>, Receiver<()>),
+    wakeup: (Sender<()>, Receiver<()>),
     next_query: Cell<QueryId>,
-    /// Queries among what waits.
-    asks: Cell<usize>,
-    /// Ends of attempts among what waits.
-    ends: Cell<usize>,
+    /// Number of queries in the queue.
+    pending_queries: Cell<usize>,
+    /// Number of answers to attempts in the queue.
+    pending_answers: Cell<usize>,
 }
 
 impl Default for Inbox {
     fn default() -> Self {
-        let bell = async_channel::bounded(1);
+        let wakeup = async_channel::bounded(1);
         Inbox {
             queue: RefCell::default(),
-            bell,
+            wakeup,
             next_query: Cell::new(1),
-            asks: Cell::new(0),
-            ends: Cell::new(0),
+            pending_queries: Cell::new(0),
+            pending_answers: Cell::new(0),
         }
     }
 }
 
 impl Inbox {
-    /// Puts something in and wakes the loop.
+    /// Adds an input and wakes the loop.
     pub fn put(&self, input: Input) {
         if matches!(input, Input::Connection(_, ConnectionEvent::Frame(FromServer::Answer { .. }))) {
-            self.ends.set(self.ends.get() + 1);
+            self.pending_answers.set(self.pending_answers.get() + 1);
         }
         self.queue.borrow_mut().push(input);
-        if self.bell.0.is_empty() {
-            let _ = self.bell.0.try_send(());
+        if self.wakeup.0.is_empty() {
+            let _ = self.wakeup.0.try_send(());
         }
     }
-    /// Hands in a query; its reply comes once, unless the ticket is dropped before. That its client has gone shows once its
-    /// task has looked so often.
-    pub fn submit(&self, connection: Connection, ask: Ask, looks: usize) -> Ticket<'_> {
+    /// Submits a query. The ticket receives its one reply, unless it is dropped before. `polls_needed` is the
+    /// number of empty polls after which it is known whether the client has gone.
+    pub fn submit(&self, connection: Connection, ask: Ask, polls_needed: usize) -> Ticket<'_> {
         let id = self.next_query.get();
         self.next_query.set(id + 1);
-        let (client, reply) = Client::new(looks);
+        let (client, reply) = Client::new(polls_needed);
         let presence = client.presence.clone();
-        self.asks.set(self.asks.get() + 1);
+        self.pending_queries.set(self.pending_queries.get() + 1);
         self.put(Input::Query(id, connection, ask, client));
         Ticket { inbox: self, id, reply, presence }
     }
-    /// A number that grows with each query.
+    /// The id of the next query, which grows with each query.
     pub fn next_query_id(&self) -> QueryId {
         self.next_query.get()
     }
-    /// Takes all that is there.
+    /// Removes and returns all inputs.
     pub fn take(&self) -> Vec<Input> {
-        let _ = self.bell.1.try_recv();
-        self.asks.set(0);
-        self.ends.set(0);
+        let _ = self.wakeup.1.try_recv();
+        self.pending_queries.set(0);
+        self.pending_answers.set(0);
         std::mem::take(&mut *self.queue.borrow_mut())
     }
-    /// Queries that wait to be taken.
+    /// Number of queries that the loop has not taken yet.
     pub fn pending_queries(&self) -> usize {
-        self.asks.get()
+        self.pending_queries.get()
     }
-    /// Ends of attempts that wait to be taken. What ends with its connection is not counted: nothing hangs on it but
-    /// how soon a turn begins.
+    /// Number of answers to attempts that the loop has not taken yet. Attempts that end with their connection
+    /// are not counted: only the start of the next turn depends on the count.
     pub fn pending_answers(&self) -> usize {
-        self.ends.get()
+        self.pending_answers.get()
     }
-    /// Waits until something further is put in.
+    /// Waits until another input is added.
     pub async fn wait_for_more(&self) {
-        let _ = self.bell.1.recv().await;
+        let _ = self.wakeup.1.recv().await;
     }
-    /// Waits until something is there.
+    /// Waits until the queue is not empty.
     pub async fn wait(&self) {
         if self.queue.borrow().is_empty() {
-            let _ = self.bell.1.recv().await;
+            let _ = self.wakeup.1.recv().await;
         }
     }
 }
 
-/// A query in the hands of the loop. Dropped before its reply, it tells the loop that the client has gone.
+/// A query that was submitted to the loop. Dropping it before its reply tells the loop that the client has
+/// gone.
 pub struct Ticket<'a> {
     inbox: &'a Inbox,
     id: QueryId,
@@ -209,18 +216,19 @@
 }
 
 impl Ticket<'_> {
-    /// The reply.
+    /// Waits for the reply.
     pub async fn reply(&self) -> Reply {
         self.reply.recv().await.unwrap_or(Reply::Failed)
     }
 
-    /// Waits for something from the client. That there is nothing counts as a look.
-    pub async fn receive<T>(&self, comes: impl Future<Output = T>) -> T {
-        let mut comes = pin!(comes);
+    /// Polls `future`, which reads from the client, until it is ready. Each poll that finds nothing counts as
+    /// an empty poll.
+    pub async fn receive<T>(&self, future: impl Future<Output = T>) -> T {
+        let mut future = pin!(future);
         poll_fn(|cx| {
-            let polled = comes.as_mut().poll(cx);
+            let polled = future.as_mut().poll(cx);
             if polled.is_pending() {
-                self.presence.looks.set(self.presence.looks.get() + 1);
+                self.presence.empty_polls.set(self.presence.empty_polls.get() + 1);
                 *self.presence.task.borrow_mut() = Some(cx.waker().clone());
             }
             polled
@@ -231,9 +239,10 @@
 
 impl Drop for Ticket<'_> {
     fn drop(&mut self) {
-        self.presence.over.set(true);
+        self.presence.ended.set(true);
         self.presence.task.take();
-        // The loop closes the channel with the reply: only a query that it still holds needs the word.
+        // The loop closes the channel with the reply, so it needs to be told only of a query that is still
+        // open.
         if !self.reply.is_closed() {
             self.inbox.put(Input::ClientGone(self.id));
         }
--- a/crates/broker/src/inbox/tests.rs
+++ b/crates/broker/src/inbox/tests.rs
@@ -17,27 +17,27 @@
     }
 }
 
-/// The one query that waits to be taken.
+/// Takes the one query in the inbox.
 fn client(inbox: &Inbox) -> Client {
     let Some(Input::Query(_, _, _, client)) = inbox.take().pop() else { panic!("no query") };
     client
 }
 
-/// The task of a client that the system has told of its going may stand behind those of many others.
+/// The task of a client that has gone may be scheduled after the tasks of many others.
 #[test]
-fn a_look_at_a_client_waits_for_the_tasks_before_it() {
-    for needed in [1, 2] {
+fn refreshing_presence_waits_for_the_tasks_scheduled_before() {
+    for polls_needed in [1, 2] {
         let inbox = Rc::new(Inbox::default());
         let executor = LocalExecutor::new();
         let has_gone = Rc::new(Cell::new(false));
-        let (inbox_of_it, gone) = (inbox.clone(), has_gone.clone());
+        let (task_inbox, gone) = (inbox.clone(), has_gone.clone());
         let mut task = executor.spawn(async move {
-            let ticket = inbox_of_it.submit(1, ask(), needed);
-            // What a look finds shows with the next one, where two are needed.
+            let ticket = task_inbox.submit(1, ask(), polls_needed);
+            // Where two polls are needed, what the first finds is reported by the second.
             let mut found = 0;
             let read = poll_fn(|_| {
                 found += usize::from(gone.get());
-                if found >= needed { Poll::Ready(()) } else { Poll::Pending }
+                if found >= polls_needed { Poll::Ready(()) } else { Poll::Pending }
             });
             ticket.receive(read).await;
         });
@@ -49,7 +49,7 @@
             has_gone.set(true);
             let others: Vec<_> = (0..1000).map(|_| executor.spawn(yield_now())).collect();
             refresh_presence(&[client.presence().clone()]).await;
-            assert!(!client.presence().is_waiting(), "{needed} looks");
+            assert!(!client.presence().is_waiting(), "{polls_needed} polls");
             assert!(matches!(inbox.take()[..], [Input::ClientGone(_)]));
             assert!(poll_once(&mut task).await.is_some());
             drop(others);
@@ -57,14 +57,15 @@
     }
 }
 
-/// A client that sends without end has always something to be read: nobody waits for that.
+/// A client that sends without end always has something to read. Nothing may wait until there is nothing
+/// more.
 #[test]
-fn a_look_at_a_client_that_sends_without_end_comes_to_an_end() {
+fn refreshing_the_presence_of_a_client_that_sends_without_end_terminates() {
     let inbox = Rc::new(Inbox::default());
     let executor = LocalExecutor::new();
-    let inbox_of_it = inbox.clone();
+    let task_inbox = inbox.clone();
     let _task = executor.spawn(async move {
-        let ticket = inbox_of_it.submit(1, ask(), 1);
+        let ticket = task_inbox.submit(1, ask(), 1);
         loop {
             ticket.receive(async {}).await;
             yield_now().await;
@@ -80,9 +81,10 @@
     }));
 }
 
-/// A query that has ended keeps nobody waiting, though what was to be sent for it still knows its client.
+/// Nothing waits for the client of a query that has ended, although the attempts that were to be sent for it
+/// still refer to it.
 #[test]
-fn nobody_looks_at_the_client_of_a_query_that_has_ended() {
+fn the_client_of_a_query_that_has_ended_is_not_waited_for() {
     let inbox = Inbox::default();
     let ticket = inbox.submit(1, ask(), 1);
     assert!(block_on(poll_once(ticket.receive(pending::<()>()))).is_none());
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -1,4 +1,5 @@
-//! The queries in hand: whose they are, what came for them, and what may go out in their name.
+//! The open queries: their clients and owners, the values received for them, and the attempts that may be
+//! sent for them.
 
 use crate::inbox::{Client, Presence};
 use crate::upstream::{DispatchedAttempt, EndedAttempt};
@@ -18,40 +19,41 @@
 use std::rc::Rc;
 use tracing::{Span, debug, debug_span, info, warn};
 
-/// Most idempotency keys that are remembered, with two to three hundred bytes each.
-const KEYS: usize = 8192;
+/// Maximum number of idempotency keys that are remembered. Each takes two to three hundred bytes.
+const MAX_KEYS: usize = 8192;
 
-/// A query in hand. Dropping it drops the way to its client, so it is dropped with its one reply.
-struct Pending {
+/// An open query. Dropping it closes the channel to its client, so it is dropped when its one reply is sent.
+struct PendingQuery {
     row: Row,
     connection: Connection,
     permit: Permit,
     ask: Ask,
-    /// Its key, in a class that has them registered, and for how long its repeats are dropped.
+    /// The idempotency key, and the time for which data servers drop repeats of its parts; `None` in a class
+    /// whose keys are not registered.
     key: Option<(Key, Micros)>,
     client: Client,
-    /// The value of each part that is in.
+    /// The value of each part; `None` until it is received.
     values: Vec<Option<String>>,
-    /// Whether anything was sent for it.
+    /// Whether any part was sent.
     any_sent: bool,
-    /// The weight of the parts that were left out for want of connections.
+    /// Total weight of the parts that were omitted for lack of connections.
     omitted_weight: f64,
     span: Span,
 }
 
-impl Pending {
+impl PendingQuery {
     fn units(&self) -> usize {
         units(&self.ask)
     }
 }
 
-/// The room that a query takes: itself and its parts.
+/// Number of units that a query uses: the query itself and its parts.
 fn units(ask: &Ask) -> usize {
     1 + ask.parts.len()
 }
 
-/// Of each class: for how long data servers drop repeats of a part; not at all where a repeat takes effect again. `None`:
-/// repeats are harmless, and nothing is registered.
+/// For each class, the time for which data servers drop repeats of a part: 0 if a repeat takes effect again,
+/// and `None` if repeats are harmless and no key is registered.
 fn windows(settings: &Settings) -> Vec<Option<Micros>> {
     let window = |semantics| match semantics {
         Semantics::Keyed { window } => Some(millis(window)),
@@ -61,21 +63,22 @@
     settings.classes.iter().map(|c| window(c.semantics)).collect()
 }
 
-/// For how long repeats are dropped in the class that has them dropped for longest, if any has, and how long clients come
-/// back after that.
+/// The longest time for which the data servers drop repeats in any class, and the longest time after that for
+/// which clients may ask again; 0 where no class has one.
 fn repeat_times(settings: &Settings) -> (Micros, Micros) {
-    let window = windows(settings).into_iter().flatten().max();
-    let keep = settings.classes.iter().map(|c| millis(c.give_up)).max();
-    (window.unwrap_or(0), keep.unwrap_or(0))
+    let max_window = windows(settings).into_iter().flatten().max();
+    let max_wait = settings.classes.iter().map(|c| millis(c.give_up)).max();
+    (max_window.unwrap_or(0), max_wait.unwrap_or(0))
 }
 
-/// For so long after an unknown process has gone may its keys come back: while data servers drop repeats, and clients ask.
+/// Time for which the keys of a process of which nothing is known may come back after its end: as long as
+/// data servers drop repeats and clients ask again.
 pub(crate) fn quarantine(settings: &Settings) -> Micros {
-    let (window, keep) = repeat_times(settings);
-    window + keep
+    let (max_window, max_wait) = repeat_times(settings);
+    max_window + max_wait
 }
 
-/// What a reply is in the books; a request that cannot be used was never taken.
+/// How a query with this reply is counted; `None` for a bad request, which is not counted as a query.
 fn end_of(reply: &Reply) -> Option<End> {
     match reply {
         Reply::Answer { .. } => Some(End::Succeeded),
@@ -85,7 +88,7 @@
     }
 }
 
-fn opened(ask: &Ask, permit: &Permit) -> Word {
+fn query_opened(ask: &Ask, permit: &Permit) -> Word {
     let owner = permit.owner().map(|owner| owner.as_ref().to_owned());
     Word::Opened { id: ask.id.as_ref().to_owned(), units: units(ask) as u32, owner }
 }
@@ -94,7 +97,9 @@
     Whose { owner: key.owner.as_ref().to_owned(), window }
 }
 
-fn word(of: &Key, window: Option<Micros>, heard: Heard, origin: Micros) -> Word {
+/// Converts an event of a key to a message for other processes of this broker. `origin` is the machine's
+/// clock at zero of the broker's clock.
+fn key_message(of: &Key, window: Option<Micros>, heard: Heard, origin: Micros) -> Word {
     let (key, whose) = (of.text.as_ref().to_owned(), whose(of, window));
     match heard {
         Heard::Opened { until } => Word::KeyOpened { key, until: origin + until, whose },
@@ -109,7 +114,7 @@
     }
 }
 
-/// The other processes of this broker, if there may be any.
+/// The other processes of this broker; `None` if the handover is switched off.
 #[derive(Clone, Copy)]
 pub(crate) struct OtherProcesses<'a>(pub(crate) Option<&'a Neighbours>);
 
@@ -120,71 +125,78 @@
     }
 }
 
-/// What is to be seen of a query in hand.
+/// The state of an open query by which a lack of connections is judged.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct QueryStatus {
-    /// Its class.
+    /// Index of the query's class.
     pub(crate) class: usize,
-    /// Whether anything was sent for it.
+    /// Whether any part was sent.
     pub(crate) any_sent: bool,
-    /// The weight of what was left out for want of connections.
+    /// Total weight of the parts that were omitted for lack of connections.
     pub(crate) omitted_weight: f64,
 }
 
-/// Why a dispatch does not go out.
+/// Why a dispatch is not sent.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Withheld {
-    /// Its query has ended in the same turn.
+    /// The query has ended in the same turn.
     QueryEnded,
-    /// The part may have run under this key, and its repeats are no longer dropped.
+    /// The part may have run under this key, and data servers no longer drop repeats of it.
     Repeat,
 }
 
-/// The queries in hand.
+/// All open queries.
 pub(crate) struct Queries {
-    pending: BTreeMap<QueryId, Pending>,
-    /// The requests' ids: parts go by them on the wire.
+    pending: BTreeMap<QueryId, PendingQuery>,
+    /// Ids of the open requests, by which data servers know their parts.
     ids: BTreeSet<Rc<str>>,
     shares: Shares,
     repeats: Repeats,
-    /// Of each class, by its index.
+    /// The window of each class, by class index: see [`windows`].
     windows: Vec<Option<Micros>>,
     gate: Gate,
-    /// Attempts that are out under a key.
+    /// Attempts in flight under a key, with the key, its window and the shard.
     keyed: BTreeMap<AttemptId, (Key, Micros, usize)>,
     max_retry_after: Option<Micros>,
-    /// Those that have ended since the last time.
-    over: Vec<QueryId>,
-    /// What other processes of this broker are to hear; `None` where there are none.
-    words: Option<Vec<Word>>,
-    /// What the machine's clock says at zero of ours.
+    /// Queries that have ended since the last call of [`Queries::take_ended`].
+    ended: Vec<QueryId>,
+    /// Messages for other processes of this broker; `None` if there are no such processes.
+    messages: Option<Vec<Word>>,
+    /// The machine's clock at zero of the broker's clock.
     origin: Micros,
     books: Books,
-    /// Of each class, by its index.
+    /// The counters of each class, by class index.
     rows: Vec<Row>,
-    /// Of classes and tenants, by their indices: a key is theirs by name, whatever index they have when it comes again.
+    /// Names of classes and tenants by index. Keys are registered under names, since an index may change
+    /// before the key is used again.
     names: Names,
 }
 
 impl Queries {
-    /// With room for so many queries and parts.
-    pub(crate) fn new(settings: &Settings, names: &Names, room: usize, seed: u64, origin: Micros) -> Self {
+    /// Creates the table with a capacity of `capacity` units, that is queries and parts together.
+    pub(crate) fn new(
+        settings: &Settings,
+        names: &Names,
+        capacity: usize,
+        seed: u64,
+        origin: Micros,
+    ) -> Self {
         let mut books = Books::default();
         let rows = names.classes.iter().map(|name| books.row(name)).collect();
-        let (window, keep) = repeat_times(settings);
-        let mut repeats = Repeats::new(window, keep, KEYS);
+        let (max_window, max_wait) = repeat_times(settings);
+        let mut repeats = Repeats::new(max_window, max_wait, MAX_KEYS);
         repeats.allow_copies(settings.second_copies);
         Queries {
             pending: BTreeMap::new(),
             ids: BTreeSet::new(),
-            shares: Shares::new(room),
+            shares: Shares::new(capacity),
             repeats,
             windows: windows(settings),
             gate: Gate::new(seed),
             keyed: BTreeMap::new(),
             max_retry_after: settings.max_retry_after.map(millis),
-            over: Vec::new(),
-            words: None,
+            ended: Vec::new(),
+            messages: None,
             origin,
             books,
             rows,
@@ -192,24 +204,25 @@
         }
     }
 
-    /// Begins to note what other processes of this broker are to hear, or stops.
+    /// Starts or stops recording messages for other processes of this broker.
     pub(crate) fn record_updates(&mut self, on: bool) {
-        self.words = on.then(|| self.words.take().unwrap_or_default());
+        self.messages = on.then(|| self.messages.take().unwrap_or_default());
     }
 
-    /// What they are to hear since the last time.
+    /// Removes and returns the messages recorded since the last call.
     pub(crate) fn take_updates(&mut self) -> Vec<Word> {
-        self.words.as_mut().map(std::mem::take).unwrap_or_default()
+        self.messages.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
-    /// All that a process that has just come has to hear.
+    /// All messages that a process needs that has just joined.
     pub(crate) fn all_updates(&self) -> Vec<Word> {
-        let mut words: Vec<Word> = self.pending.values().map(|p| opened(&p.ask, &p.permit)).collect();
-        self.repeats.tell(|key, window, heard| words.push(word(key, window, heard, self.origin)));
-        words
+        let mut messages: Vec<Word> =
+            self.pending.values().map(|p| query_opened(&p.ask, &p.permit)).collect();
+        self.repeats.tell(|key, window, heard| messages.push(key_message(key, window, heard, self.origin)));
+        messages
     }
 
-    /// Takes what another process of this broker did with a key.
+    /// Records what another process of this broker did with a key.
     pub(crate) fn apply_update(&mut self, now: Micros, word: Word) {
         let at = |shared: Micros| shared.saturating_sub(self.origin);
         let (key, whose, heard) = match word {
@@ -229,62 +242,64 @@
         }
     }
 
-    /// So many processes are this broker.
-    pub(crate) fn set_process_count(&mut self, copies: u32) {
-        self.gate.set_copies(copies);
+    /// Sets the number of processes of this broker, which share its limits.
+    pub(crate) fn set_process_count(&mut self, processes: u32) {
+        self.gate.set_copies(processes);
     }
 
-    /// Goes by other settings for queries that come from now on; those in hand keep what they have.
-    pub(crate) fn reconfigure(&mut self, settings: &Settings, names: &Names, room: usize) {
-        let (window, keep) = repeat_times(settings);
-        self.repeats.retune(window, keep);
+    /// Applies new settings to queries that arrive from now on. Open queries keep the settings under which
+    /// they were admitted.
+    pub(crate) fn reconfigure(&mut self, settings: &Settings, names: &Names, capacity: usize) {
+        let (max_window, max_wait) = repeat_times(settings);
+        self.repeats.retune(max_window, max_wait);
         self.repeats.allow_copies(settings.second_copies);
         self.windows = windows(settings);
-        self.shares.set_room(room);
+        self.shares.set_room(capacity);
         self.max_retry_after = settings.max_retry_after.map(millis);
         self.rows = names.classes.iter().map(|name| self.books.row(name)).collect();
         self.names.clone_from(names);
     }
 
-    /// Others begin at these tenants' indices.
+    /// Resets the limits of these tenant indices, which are now used by other tenants.
     pub(crate) fn reset_tenants(&mut self, tenants: &[usize]) {
         self.gate.forget_tenants(tenants);
     }
 
-    /// The key of a query whose class has them registered, and for how long its repeats are dropped.
+    /// The key of a request and its window; `None` if the class's keys are not registered or the request has
+    /// none.
     fn key_of(&self, ask: &Ask) -> Option<(Key, Micros)> {
         let window = self.windows.get(ask.class).copied().flatten()?;
         let name = |names: &[String], i: usize| names.get(i).cloned().unwrap_or_default();
         let (tenant, class) = (name(&self.names.tenants, ask.tenant), name(&self.names.classes, ask.class));
-        // No name that a header can carry holds the zero between them.
+        // A name that a header can carry contains no zero byte, so the pair is unambiguous.
         let owner = format!("{tenant}\0{class}").into();
         Some((Key { text: ask.key.clone()?, owner }, window))
     }
 
-    /// Those that have ended since the last time.
+    /// Removes and returns the queries that have ended since the last call.
     pub(crate) fn take_ended(&mut self) -> Vec<QueryId> {
-        std::mem::take(&mut self.over)
+        std::mem::take(&mut self.ended)
     }
 
-    /// Whether the client of a query waits; `None`: the query has ended.
+    /// Tells whether the client of a query still waits; `None` if the query has ended.
     pub(crate) fn presence(&self, query: QueryId) -> Option<&Rc<Presence>> {
         self.pending.get(&query).map(|pending| pending.client.presence())
     }
 
-    /// What a query that lacks connections is judged by; `None`: it has ended.
+    /// The status by which a query that lacks connections is judged; `None` if it has ended.
     pub(crate) fn status(&self, query: QueryId) -> Option<QueryStatus> {
         let pending = self.pending.get(&query)?;
-        let Pending { any_sent, omitted_weight, .. } = *pending;
+        let PendingQuery { any_sent, omitted_weight, .. } = *pending;
         Some(QueryStatus { class: pending.ask.class, any_sent, omitted_weight })
     }
 
-    /// A part's weight in its query's answer.
+    /// The weight of a part in its query's answer; 0 if the query has ended.
     pub(crate) fn weight(&self, query: QueryId, part: usize) -> f64 {
         let part = self.pending.get(&query).and_then(|pending| pending.ask.parts.get(part));
         part.map_or(0.0, |part| part.weight)
     }
 
-    /// A part is left out for good.
+    /// Records that a part is omitted from the answer.
     pub(crate) fn omit_part(&mut self, query: QueryId, part: usize) {
         let weight = self.weight(query, part);
         if let Some(pending) = self.pending.get_mut(&query) {
@@ -292,27 +307,27 @@
         }
     }
 
-    /// A class's name.
+    /// The name of a class; empty for an unknown index.
     pub(crate) fn class_name(&self, class: usize) -> &str {
         self.names.classes.get(class).map_or("", String::as_str)
     }
 
-    /// Queries in hand.
+    /// Number of open queries.
     pub(crate) fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// All figures.
+    /// Renders all metrics as text.
     pub(crate) fn render_metrics(&self, census: &Census) -> String {
         self.books.render(census)
     }
 
-    /// Whether there are none.
+    /// Whether no query is open.
     pub(crate) fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Refuses a query at once, while this broker comes back.
+    /// Refuses a query at once, while the broker ramps up after a restart.
     pub(crate) fn refuse(&mut self, ask: &Ask, client: &Client) {
         let row = self.rows[ask.class];
         self.books.take(row);
@@ -320,7 +335,7 @@
         client.answer(Reply::Refused { retry_after: self.max_retry_after });
     }
 
-    /// Takes up a query, or answers it at once: `None`.
+    /// Admits a query and returns it for the decision module, or answers it at once and returns `None`.
     pub(crate) fn admit(
         &mut self,
         now: Micros,
@@ -333,23 +348,24 @@
         let row = self.rows[ask.class];
         let keyed = self.key_of(&ask);
         let books = &mut self.books;
-        let mut answered = |reply_with| {
-            if let Some(end) = end_of(&reply_with) {
+        let mut answer_at_once = |reply| {
+            if let Some(end) = end_of(&reply) {
                 books.take(row);
                 books.end(row, end);
             }
-            client.answer(reply_with);
+            client.answer(reply);
             None
         };
-        // Parts go by the request's id on the wire: those of two requests could not be told apart.
+        // Data servers know parts by the request's id: the parts of two requests with one id could not be
+        // told apart.
         if self.ids.contains(&ask.id) || beside.0.is_some_and(|n| n.has(&ask.id)) {
             let why = "X-Request-Id is that of a request in hand".to_owned();
-            return answered(Reply::Bad { status: 400, why });
+            return answer_at_once(Reply::Bad { status: 400, why });
         }
         let units = units(&ask);
         if !self.shares.take(connection, units) {
             info!(name: "share_full", connection, held = self.shares.held());
-            return answered(Reply::Refused { retry_after: self.max_retry_after });
+            return answer_at_once(Reply::Refused { retry_after: self.max_retry_after });
         }
         let mut permit = match self
             .gate
@@ -360,13 +376,13 @@
                 self.shares.give_back(connection, units);
                 info!(name: "limit_reached", limit = refused.limit, section = %refused.owner, tenant = ask.tenant, shared = refused.shared);
                 let retry_after = self.max_retry_after.map(|most| most.min(refused.wait));
-                return answered(Reply::Refused { retry_after });
+                return answer_at_once(Reply::Refused { retry_after });
             }
         };
         let give_up_at = now + ask.patience;
         if let Some((key, window)) = &keyed {
             let shards = ask.parts.iter().map(|p| p.shard);
-            // What another process may be sending unknown to us counts as this key's.
+            // A process of which nothing is known may be sending parts of this key.
             let verdict = match beside.keyed(now) {
                 Keyed::Wait(until) => Verdict::Busy(until.min(give_up_at)),
                 Keyed::May => self.repeats.open(now, key, shards, give_up_at, *window),
@@ -380,11 +396,11 @@
                 Verdict::Serve => {}
                 Verdict::Busy(until) | Verdict::Taken(until) => {
                     let wait = until.saturating_sub(now);
-                    return answered(Reply::Refused {
+                    return answer_at_once(Reply::Refused {
                         retry_after: self.max_retry_after.map(|most| most.min(wait)),
                     });
                 }
-                Verdict::Over => return answered(Reply::Failed),
+                Verdict::Over => return answer_at_once(Reply::Failed),
             }
         }
         let query = Query {
@@ -398,16 +414,18 @@
         };
         let span = debug_span!("query", query = id, connection, id = %ask.id);
         span.in_scope(|| debug!(name: "query_taken", class = ask.class, parts = ask.parts.len()));
-        if let Some(words) = &mut self.words {
-            words.push(opened(&ask, &permit));
+        if let Some(messages) = &mut self.messages {
+            messages.push(query_opened(&ask, &permit));
             let heard = Heard::Opened { until: give_up_at };
-            words.extend(keyed.iter().map(|(key, window)| word(key, Some(*window), heard, self.origin)));
+            messages.extend(
+                keyed.iter().map(|(key, window)| key_message(key, Some(*window), heard, self.origin)),
+            );
         }
         self.ids.insert(ask.id.clone());
         let values = vec![None; ask.parts.len()];
         self.books.take(row);
         let (any_sent, omitted_weight) = (false, 0.0);
-        let pending = Pending {
+        let pending = PendingQuery {
             row,
             connection,
             permit,
@@ -423,7 +441,7 @@
         Some(query)
     }
 
-    /// The client has gone. Nothing may be left to free where the reply was on its way already.
+    /// Ends a query whose client has gone. Does nothing if the query was answered at the same time.
     pub(crate) fn client_gone(&mut self, now: Micros, query: QueryId) {
         if let Some(pending) = self.close(now, query, End::Aborted) {
             pending.span.in_scope(|| debug!(name: "query_gone", query));
@@ -442,17 +460,17 @@
         pending.client.answer(reply);
     }
 
-    /// The one place where a query is given back.
-    fn close(&mut self, now: Micros, query: QueryId, end: End) -> Option<Pending> {
+    /// Removes a query and releases what it used. Every query ends here.
+    fn close(&mut self, now: Micros, query: QueryId, end: End) -> Option<PendingQuery> {
         let mut pending = self.pending.remove(&query)?;
-        self.over.push(query);
+        self.ended.push(query);
         self.books.end(pending.row, end);
         self.gate.give_back(std::mem::take(&mut pending.permit));
-        if let Some(words) = &mut self.words {
-            words.push(Word::Closed { id: pending.ask.id.as_ref().to_owned() });
+        if let Some(messages) = &mut self.messages {
+            messages.push(Word::Closed { id: pending.ask.id.as_ref().to_owned() });
             let heard = Heard::Closed { answered: end == End::Succeeded };
-            let closed = |(key, window): &(Key, Micros)| word(key, Some(*window), heard, self.origin);
-            words.extend(pending.key.as_ref().map(closed));
+            let closed = |(key, window): &(Key, Micros)| key_message(key, Some(*window), heard, self.origin);
+            messages.extend(pending.key.as_ref().map(closed));
         }
         self.ids.remove(&pending.ask.id);
         self.shares.give_back(pending.connection, pending.units());
@@ -462,31 +480,31 @@
         Some(pending)
     }
 
-    /// A dispatch with all that its frame needs.
-    pub(crate) fn prepare(&mut self, now: Micros, d: Dispatch) -> Result<DispatchedAttempt, Withheld> {
-        let pending = self.pending.get_mut(&d.attempt.query).ok_or(Withheld::QueryEnded)?;
+    /// Completes a dispatch with everything that its frame needs, and registers it if the query has a key.
+    pub(crate) fn prepare(&mut self, now: Micros, dispatch: Dispatch) -> Result<DispatchedAttempt, Withheld> {
+        let pending = self.pending.get_mut(&dispatch.attempt.query).ok_or(Withheld::QueryEnded)?;
         pending.any_sent = true;
-        let part = pending.ask.parts.get(d.attempt.part).ok_or(Withheld::QueryEnded)?;
+        let part = pending.ask.parts.get(dispatch.attempt.part).ok_or(Withheld::QueryEnded)?;
         let mut write_deadline = Micros::MAX;
         if let Some((key, window)) = &pending.key {
             if !self.repeats.may_send(now, key, part.shard) {
                 return Err(Withheld::Repeat);
             }
             write_deadline = self.repeats.until(key, part.shard).unwrap_or(write_deadline);
-            if let Some(words) = &mut self.words {
-                let heard = Heard::Sent { shard: part.shard, at: now, until: d.until };
-                words.push(word(key, Some(*window), heard, self.origin));
+            if let Some(messages) = &mut self.messages {
+                let heard = Heard::Sent { shard: part.shard, at: now, until: dispatch.until };
+                messages.push(key_message(key, Some(*window), heard, self.origin));
             }
-            self.repeats.sent(now, key, part.shard, d.until);
-            self.keyed.insert(d.attempt, (key.clone(), *window, part.shard));
+            self.repeats.sent(now, key, part.shard, dispatch.until);
+            self.keyed.insert(dispatch.attempt, (key.clone(), *window, part.shard));
         }
         pending.span.in_scope(
-            || debug!(name: "part_sent", shard = part.shard, attempt = d.attempt.attempt, server = %d.server.0),
+            || debug!(name: "part_sent", shard = part.shard, attempt = dispatch.attempt.attempt, server = %dispatch.server.0),
         );
         Ok(DispatchedAttempt {
-            attempt: d.attempt,
-            server: d.server,
-            deadline: d.until,
+            attempt: dispatch.attempt,
+            server: dispatch.server,
+            deadline: dispatch.until,
             write_deadline,
             part: PartId { request: pending.ask.id.clone(), shard: part.shard },
             key: pending.ask.key.clone(),
@@ -495,7 +513,7 @@
         })
     }
 
-    /// Takes the end of an attempt: its value stays here, with its query.
+    /// Records the end of an attempt, and keeps its value with its query.
     pub(crate) fn attempt_ended(&mut self, now: Micros, ended: &mut EndedAttempt) {
         if let Some((key, window, shard)) = self.keyed.remove(&ended.attempt) {
             let proof = match ended.outcome {
@@ -503,8 +521,13 @@
                 Outcome::Full | Outcome::NoConnection | Outcome::NotSent => Proof::NeverRan,
                 Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled => Proof::MayRun,
             };
-            if let Some(words) = &mut self.words {
-                words.push(word(&key, Some(window), Heard::Ended { shard, at: now, proof }, self.origin));
+            if let Some(messages) = &mut self.messages {
+                messages.push(key_message(
+                    &key,
+                    Some(window),
+                    Heard::Ended { shard, at: now, proof },
+                    self.origin,
+                ));
             }
             self.repeats.ended(now, &key, shard, proof);
         }
@@ -520,7 +543,7 @@
     }
 }
 
-/// Shard and value of each part that is in.
+/// Shard and value of each part that was received.
 pub(crate) type Values = Vec<(usize, String)>;
 
 #[cfg(test)]
--- a/crates/broker/src/queries/tests.rs
+++ b/crates/broker/src/queries/tests.rs
@@ -22,7 +22,7 @@
     Queries::new(settings, &names(), 100, 7, 0)
 }
 
-/// Takes up a query of one part under a key; its number, or what it was answered at once.
+/// Admits a query of one part with a key. Returns its id, or the reply that it was answered with at once.
 fn ask(queries: &mut Queries, now: Micros, id: QueryId, class: usize, key: &str) -> Result<QueryId, Reply> {
     let ask = Ask {
         id: format!("r{id}").into(),
@@ -55,8 +55,8 @@
     );
 }
 
-/// Data servers drop no repeats of such a class, whatever window another class has: what may have run is not run again
-/// for a client that asks again under its key.
+/// Data servers drop no repeats in an unsafe class, whatever window another class has. A part that may have
+/// run is not run again for a client that asks again with the same key.
 #[test]
 fn a_class_whose_repeats_take_effect_has_no_window() {
     let mut q = queries(&settings(|s| s.classes[0].semantics = Semantics::Unsafe));
@@ -66,16 +66,16 @@
         let attempt = send(&mut q, 0, id, 0).unwrap();
         end(&mut q, 10, attempt, Outcome::ConnectionLost);
         q.client_gone(20, id);
-        let again = ask(&mut q, SECOND, 20 + class as u64, class, &key);
-        assert_eq!(again.is_ok(), served, "class {class}: {again:?}");
-        assert!(served || again == Err(Reply::Failed));
+        let retry = ask(&mut q, SECOND, 20 + class as u64, class, &key);
+        assert_eq!(retry.is_ok(), served, "class {class}: {retry:?}");
+        assert!(served || retry == Err(Reply::Failed));
     }
 }
 
-/// Where the settings allow second copies, a keyed part has them too; else the register holds even a module to it that
-/// asks for one.
+/// A keyed part may be hedged if the settings allow hedging. Otherwise the hedged attempt is withheld even if
+/// the decision module dispatches one.
 #[test]
-fn a_keyed_part_has_a_second_copy_where_the_settings_allow_it() {
+fn a_keyed_part_is_hedged_if_the_settings_allow_it() {
     for allowed in [false, true] {
         let mut q = queries(&settings(|s| s.second_copies = allowed));
         let id = ask(&mut q, 0, 1, 1, "k").unwrap();
@@ -86,17 +86,20 @@
     }
 }
 
-/// Nothing stands in for a window that no class has.
+/// If no class has a window, 0 is used, not a default.
 #[test]
-fn without_a_keyed_class_only_the_patience_of_clients_counts() {
+fn without_a_keyed_class_only_the_give_up_time_counts() {
     let none = settings(|s| s.classes.iter_mut().for_each(|c| c.semantics = Semantics::Safe));
     assert_eq!((repeat_times(&none), quarantine(&none)), ((0, 60 * SECOND), 60 * SECOND));
     assert_eq!(repeat_times(&settings(|_| ())), (5 * SECOND, 60 * SECOND));
-    // A key that came under terms before, in which the class had one, is no key now.
+    // A key used while its class has no window is not registered.
     let mut q = queries(&none);
     ask(&mut q, 0, 1, 1, "k").unwrap();
     assert!(ask(&mut q, 10, 2, 1, "k").is_ok());
     q.reconfigure(&settings(|_| ()), &names(), 100);
     ask(&mut q, 20, 3, 1, "k").unwrap();
-    assert!(ask(&mut q, 30, 4, 1, "k").is_err(), "it has one again, and is in hand");
+    assert!(
+        ask(&mut q, 30, 4, 1, "k").is_err(),
+        "the class has a window again, and the query with this key is open"
+    );
 }
--- a/crates/broker/src/server_list.rs
+++ b/crates/broker/src/server_list.rs
@@ -1,4 +1,5 @@
-//! The list of data servers: the decisions and the pools learn of it in the same turn.
+//! The list of data servers. Changes to it reach the decision module and the connection pools in the same
+//! turn.
 
 use crate::upstream::Upstream;
 use plover_core::Core;
@@ -9,17 +10,17 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// What the list is read by.
+/// What is needed to interpret a server list.
 pub(crate) struct ServerList {
     pub(crate) clock: Clock,
     /// Names of zones, in the settings' order.
     pub(crate) zones: Vec<String>,
-    /// The version in force.
+    /// The revision of the list in force.
     pub(crate) rev: u64,
 }
 
 impl ServerList {
-    /// Takes news of the list.
+    /// Applies a list or changes to it.
     pub(crate) fn apply(
         &mut self,
         now: Micros,
@@ -43,7 +44,8 @@
         core.learn(scope, servers);
     }
 
-    /// Takes from what the process before this one knew which servers were leaving, where its list was no older.
+    /// Marks the servers as draining that were leaving by the previous process's snapshot, unless its list
+    /// was older.
     pub(crate) fn apply_drains(
         &self,
         now: Micros,
@@ -54,12 +56,12 @@
         if recall.rev < self.rev {
             return;
         }
-        let leaves: BTreeSet<&str> =
+        let leaving: BTreeSet<&str> =
             recall.servers.iter().filter(|s| s.leaving).map(|s| s.name.as_str()).collect();
-        let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-        let views = core.views(now, |_| Some(nowhere)).into_iter();
-        let drains = views.filter(|v| v.state == NodeState::Serving && leaves.contains(&*v.name.0));
-        let drains: Vec<ServerInfo> = drains
+        let unused_address = SocketAddr::from(([0, 0, 0, 0], 0));
+        let views = core.views(now, |_| Some(unused_address)).into_iter();
+        let drained = views.filter(|v| v.state == NodeState::Serving && leaving.contains(&*v.name.0));
+        let drained: Vec<ServerInfo> = drained
             .map(|v| ServerInfo {
                 name: v.name,
                 cell: v.cell,
@@ -68,7 +70,7 @@
                 started: None,
             })
             .collect();
-        drains.iter().for_each(|s| upstream.set_endpoint(now, s.name.clone(), None));
-        core.learn(ListScope::Changes, drains);
+        drained.iter().for_each(|s| upstream.set_endpoint(now, s.name.clone(), None));
+        core.learn(ListScope::Changes, drained);
     }
 }
