--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -1,9 +1,10 @@
-//! The broker on sockets: clients in front, data servers behind. What to send where, when to try again, answer or
-//! refuse is decided by `brookbend`, behind the facade `plover_core`.
+//! The broker's sockets and event loop, between clients and data servers. `brookbend`, behind the facade
+//! `plover_core`, decides what to send where and when to retry, answer or refuse.
 //!
-//! [`run`] starts one, whose turns `event_loop` runs. What an operator may leave out stands beside the turns, behind the seam
-//! `extensions`. [`front`] serves the clients, [`upstream`] the connections to data servers. They, and the
-//! watch of the list of these, tell the turns what happened through the [`inbox`].
+//! [`run`] starts a broker, and `event_loop` runs its turns. Components that an operator may switch off are
+//! called through the interface in `extensions`. [`front`] serves the clients, and [`upstream`] the
+//! connections to data servers. Both, and the watch of the server list, pass what they received to the event
+//! loop through the [`inbox`].
 
 mod coming;
 mod doors;
--- a/crates/broker/src/rig.rs
+++ b/crates/broker/src/rig.rs
@@ -1,8 +1,8 @@
-//! What the tests of several modules begin with.
+//! Settings that the tests of several modules use.
 
 use brookbend::api::{Class, ColdRule, ListSource, Semantics, Settings};
 
-/// Settings of a deployment of one shard, with one class.
+/// Settings for a deployment of one shard with one class.
 pub(crate) fn settings() -> Settings {
     let class = Class {
         aim: 1000.0,
