--- a/crates/broker/src/event_loop.rs
+++ b/crates/broker/src/event_loop.rs
@@ -57,19 +57,19 @@
     pub(crate) refusals_logged: u64,
     /// How long this thread has been busy.
     pub(crate) busy: Rc<BusyTime>,
-    pub(crate) accounted: Accounted,
+    pub(crate) overhead: OverheadAccounting,
     /// The optional components that are switched on.
     pub(crate) extensions: Extensions,
 }
 
 /// The broker's own time for parts and turns, learned from the thread's busy time at the end of each turn.
 #[derive(Debug, Default)]
-pub(crate) struct Accounted {
-    own: OwnTime,
+pub(crate) struct OverheadAccounting {
+    estimator: OwnTime,
     /// The thread's busy time at the end of the last turn.
-    busy: Micros,
+    last_busy: Micros,
     /// Number of connections dialled by the end of the last turn.
-    dialled: u64,
+    last_dials: u64,
 }
 
 /// A query as it is taken from the inbox.
@@ -87,8 +87,8 @@
     pub(crate) async fn run(&mut self) {
         loop {
             let now = self.clock.now();
-            let own = &self.accounted.own;
-            self.core.set_own_time(own.part(), own.turn(), self.busy.total());
+            let estimator = &self.overhead.estimator;
+            self.core.set_own_time(estimator.part(), estimator.turn(), self.busy.total());
             let (sent, ended) = self.turn(now).await;
             self.account(sent, ended);
             let superseded = self.extensions.siblings().is_some_and(Neighbours::has_newer);
@@ -140,10 +140,10 @@
     /// Updates the estimate of the broker's own time after a turn.
     fn account(&mut self, sent: usize, ended: usize) {
         let (total, dials) = (self.busy.total(), self.upstream.dial_count());
-        let Accounted { own, busy, dialled } = &mut self.accounted;
-        let dialled_now = *dialled != dials || self.upstream.is_dialling();
-        own.observe(Turn { busy: total - *busy, sent, ended, dialled: dialled_now });
-        (*busy, *dialled) = (total, dials);
+        let OverheadAccounting { estimator, last_busy, last_dials } = &mut self.overhead;
+        let dialled = *last_dials != dials || self.upstream.is_dialling();
+        estimator.observe(Turn { busy: total - *last_busy, sent, ended, dialled });
+        (*last_busy, *last_dials) = (total, dials);
     }
 
     /// Runs one turn. Returns the numbers of attempts sent and of attempts that ended.
@@ -155,7 +155,9 @@
         let mut calls = Vec::new();
         for input in self.inbox.take() {
             match input {
-                Input::Query(id, connection, ask, client) => arrived.push((id, connection, ask, client)),
+                Input::Query(id, connection, request, client) => {
+                    arrived.push((id, connection, request, client))
+                }
                 Input::ClientGone(id) => {
                     arrived.retain(|(query, ..): &ArrivedQuery| *query != id);
                     self.core.leave(id);
@@ -244,13 +246,13 @@
     fn admit(&mut self, now: Micros, arrived: Vec<ArrivedQuery>) -> Vec<Query> {
         self.core.set_elsewhere(self.extensions.siblings().map_or(0, Neighbours::units));
         let mut queries = Vec::new();
-        for (id, connection, ask, client) in arrived {
-            match self.extensions.admit(now, &ask) {
-                Admission::Refused => self.queries.refuse(&ask, &client),
-                Admission::Deferred => self.deferred.push((id, connection, ask, client)),
+        for (id, connection, request, client) in arrived {
+            match self.extensions.admit(now, &request) {
+                Admission::Refused => self.queries.refuse(&request, &client),
+                Admission::Deferred => self.deferred.push((id, connection, request, client)),
                 Admission::Admitted => {
-                    let beside = OtherProcesses(self.extensions.siblings());
-                    queries.extend(self.queries.admit(now, id, connection, ask, client, beside));
+                    let siblings = OtherProcesses(self.extensions.siblings());
+                    queries.extend(self.queries.admit(now, id, connection, request, client, siblings));
                 }
             }
         }
@@ -393,7 +395,8 @@
         if let Some(newest) = newest.filter(|_| logged < refusals.total()) {
             debug!(
                 name: "refused_on_arrival", past_aim, mean, slowest, own, lag, probes, class = newest.class.0,
-                mean_ms = newest.mean, slowest_ms = newest.slowest, own_ms = newest.own, lag_ms = newest.lag, allowed_ms = newest.allowed
+                mean_ms = newest.mean, slowest_ms = newest.slowest, own_ms = newest.own, lag_ms = newest.lag,
+                allowed_ms = newest.allowed
             );
         }
     }
--- a/crates/broker/src/extensions.rs
+++ b/crates/broker/src/extensions.rs
@@ -93,7 +93,7 @@
     fn due(&self, now: Micros, view: View<'_>) -> Option<Micros>;
 
     /// Whether a query is admitted.
-    fn admit(&mut self, _now: Micros, _ask: &Ask) -> Admission {
+    fn admit(&mut self, _now: Micros, _request: &Ask) -> Admission {
         Admission::Admitted
     }
 
@@ -142,8 +142,8 @@
 
     /// Whether a query is admitted. The first extension that does not admit it decides, and the later ones
     /// are not asked.
-    pub(crate) fn admit(&mut self, now: Micros, ask: &Ask) -> Admission {
-        let admissions = self.0.iter_mut().map(|extension| extension.admit(now, ask));
+    pub(crate) fn admit(&mut self, now: Micros, request: &Ask) -> Admission {
+        let admissions = self.0.iter_mut().map(|extension| extension.admit(now, request));
         admissions
             .into_iter()
             .find(|admission| *admission != Admission::Admitted)
@@ -179,7 +179,7 @@
     use std::hint::black_box;
     use std::rc::Rc;
 
-    fn ask() -> Ask {
+    fn request() -> Ask {
         Ask {
             id: "a".into(),
             class: 0,
@@ -199,7 +199,7 @@
         extensions: &mut Extensions,
         now: Micros,
         view: View<'_>,
-        ask: &Ask,
+        request: &Ask,
     ) -> Option<Micros> {
         let events = [
             TurnEvent::TurnStart(view),
@@ -214,7 +214,7 @@
         let mut census = Census::default();
         extensions.report_gauges(&mut census);
         black_box((
-            extensions.admit(now, ask),
+            extensions.admit(now, request),
             extensions.not_ready_reason(),
             extensions.siblings().is_some(),
             census,
@@ -234,7 +234,7 @@
         fn due(&self, now: Micros, _view: View<'_>) -> Option<Micros> {
             Some(now)
         }
-        fn admit(&mut self, _now: Micros, _ask: &Ask) -> Admission {
+        fn admit(&mut self, _now: Micros, _request: &Ask) -> Admission {
             Admission::Refused
         }
     }
@@ -247,7 +247,7 @@
         fn due(&self, now: Micros, _view: View<'_>) -> Option<Micros> {
             Some(now + 1)
         }
-        fn admit(&mut self, _now: Micros, _ask: &Ask) -> Admission {
+        fn admit(&mut self, _now: Micros, _request: &Ask) -> Admission {
             Admission::Deferred
         }
     }
@@ -256,13 +256,13 @@
     fn an_extension_that_is_switched_off_costs_a_turn_nothing() {
         let core = Core::new(settings(), 10, 1);
         let queries = Queries::new(&settings(), &Default::default(), 10, 1, 0);
-        let (view, ask) = (View { core: &core, queries: &queries, rev: 0 }, ask());
+        let (view, request) = (View { core: &core, queries: &queries, rev: 0 }, request());
         let mut extensions = Extensions::default();
-        let off = measure(|| assert_eq!(calls_of_a_turn(&mut extensions, 5, view, &ask), None));
+        let off = measure(|| assert_eq!(calls_of_a_turn(&mut extensions, 5, view, &request), None));
         assert_eq!(off.count_total, 0);
         // The counter works, and an extension that is switched on is called.
         extensions.add(Refusing);
-        let on = measure(|| assert_eq!(calls_of_a_turn(&mut extensions, 5, view, &ask), Some(5)));
+        let on = measure(|| assert_eq!(calls_of_a_turn(&mut extensions, 5, view, &request), Some(5)));
         assert!(on.count_total > 0);
     }
 
@@ -270,13 +270,13 @@
     fn the_first_extension_that_does_not_admit_a_query_decides_and_the_earliest_due_time_counts() {
         let core = Core::new(settings(), 10, 1);
         let queries = Queries::new(&settings(), &Default::default(), 10, 1, 0);
-        let (view, ask) = (View { core: &core, queries: &queries, rev: 0 }, ask());
+        let (view, request) = (View { core: &core, queries: &queries, rev: 0 }, request());
         let mut extensions = Extensions::default();
-        assert_eq!((extensions.admit(5, &ask), extensions.due(5, view)), (Admission::Admitted, None));
+        assert_eq!((extensions.admit(5, &request), extensions.due(5, view)), (Admission::Admitted, None));
         extensions.add(Deferring);
-        assert_eq!((extensions.admit(5, &ask), extensions.due(5, view)), (Admission::Deferred, Some(6)));
+        assert_eq!((extensions.admit(5, &request), extensions.due(5, view)), (Admission::Deferred, Some(6)));
         extensions.add(Refusing);
-        assert_eq!((extensions.admit(5, &ask), extensions.due(5, view)), (Admission::Deferred, Some(5)));
+        assert_eq!((extensions.admit(5, &request), extensions.due(5, view)), (Admission::Deferred, Some(5)));
         assert_eq!(extensions.notify(5, TurnEvent::TurnStart(view)).len(), 1);
     }
 }
--- a/crates/broker/src/inbox.rs
+++ b/crates/broker/src/inbox.rs
@@ -165,13 +165,13 @@
     }
     /// Submits a query. The ticket receives its one reply, unless it is dropped before. `polls_needed` is the
     /// number of empty polls after which it is known whether the client has gone.
-    pub fn submit(&self, connection: Connection, ask: Ask, polls_needed: usize) -> Ticket<'_> {
+    pub fn submit(&self, connection: Connection, request: Ask, polls_needed: usize) -> Ticket<'_> {
         let id = self.next_query.get();
         self.next_query.set(id + 1);
         let (client, reply) = Client::new(polls_needed);
         let presence = client.presence.clone();
         self.pending_queries.set(self.pending_queries.get() + 1);
-        self.put(Input::Query(id, connection, ask, client));
+        self.put(Input::Query(id, connection, request, client));
         Ticket { inbox: self, id, reply, presence }
     }
     /// The id of the next query, which grows with each query.
--- a/crates/broker/src/inbox/tests.rs
+++ b/crates/broker/src/inbox/tests.rs
@@ -3,7 +3,7 @@
 use futures_lite::future::{block_on, pending, poll_once};
 use std::task::Poll;
 
-fn ask() -> Ask {
+fn request() -> Ask {
     Ask {
         id: "a".into(),
         class: 0,
@@ -32,7 +32,7 @@
         let has_gone = Rc::new(Cell::new(false));
         let (task_inbox, gone) = (inbox.clone(), has_gone.clone());
         let mut task = executor.spawn(async move {
-            let ticket = task_inbox.submit(1, ask(), polls_needed);
+            let ticket = task_inbox.submit(1, request(), polls_needed);
             // Where two polls are needed, what the first finds is reported by the second.
             let mut found = 0;
             let read = poll_fn(|_| {
@@ -65,7 +65,7 @@
     let executor = LocalExecutor::new();
     let task_inbox = inbox.clone();
     let _task = executor.spawn(async move {
-        let ticket = task_inbox.submit(1, ask(), 1);
+        let ticket = task_inbox.submit(1, request(), 1);
         loop {
             ticket.receive(async {}).await;
             yield_now().await;
@@ -86,7 +86,7 @@
 #[test]
 fn the_client_of_a_query_that_has_ended_is_not_waited_for() {
     let inbox = Inbox::default();
-    let ticket = inbox.submit(1, ask(), 1);
+    let ticket = inbox.submit(1, request(), 1);
     assert!(block_on(poll_once(ticket.receive(pending::<()>()))).is_none());
     let client = client(&inbox);
     let presence = client.presence().clone();
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -24,10 +24,10 @@
 
 /// An open query. Dropping it closes the channel to its client, so it is dropped when its one reply is sent.
 struct PendingQuery {
-    row: Row,
+    class_counter: Row,
     connection: Connection,
     permit: Permit,
-    ask: Ask,
+    request: Ask,
     /// The idempotency key, and the time for which data servers drop repeats of its parts; `None` in a class
     /// whose keys are not registered.
     key: Option<(Key, Micros)>,
@@ -43,13 +43,13 @@
 
 impl PendingQuery {
     fn units(&self) -> usize {
-        units(&self.ask)
+        units(&self.request)
     }
 }
 
 /// Number of units that a query uses: the query itself and its parts.
-fn units(ask: &Ask) -> usize {
-    1 + ask.parts.len()
+fn units(request: &Ask) -> usize {
+    1 + request.parts.len()
 }
 
 /// For each class, the time for which data servers drop repeats of a part: 0 if a repeat takes effect again,
@@ -88,9 +88,9 @@
     }
 }
 
-fn query_opened(ask: &Ask, permit: &Permit) -> Word {
+fn query_opened(request: &Ask, permit: &Permit) -> Word {
     let owner = permit.owner().map(|owner| owner.as_ref().to_owned());
-    Word::Opened { id: ask.id.as_ref().to_owned(), units: units(ask) as u32, owner }
+    Word::Opened { id: request.id.as_ref().to_owned(), units: units(request) as u32, owner }
 }
 
 fn whose(key: &Key, window: Option<Micros>) -> Whose {
@@ -99,9 +99,9 @@
 
 /// Converts an event of a key to a message for other processes of this broker. `origin` is the machine's
 /// clock at zero of the broker's clock.
-fn key_message(of: &Key, window: Option<Micros>, heard: Heard, origin: Micros) -> Word {
+fn key_message(of: &Key, window: Option<Micros>, event: Heard, origin: Micros) -> Word {
     let (key, whose) = (of.text.as_ref().to_owned(), whose(of, window));
-    match heard {
+    match event {
         Heard::Opened { until } => Word::KeyOpened { key, until: origin + until, whose },
         Heard::Sent { shard, at, until } => {
             let (shard, at, until) = (shard as u32, origin + at, origin + until);
@@ -151,10 +151,10 @@
     /// Ids of the open requests, by which data servers know their parts.
     ids: BTreeSet<Rc<str>>,
     shares: Shares,
-    repeats: Repeats,
+    key_register: Repeats,
     /// The window of each class, by class index: see [`windows`].
     windows: Vec<Option<Micros>>,
-    gate: Gate,
+    limiter: Gate,
     /// Attempts in flight under a key, with the key, its window and the shard.
     keyed: BTreeMap<AttemptId, (Key, Micros, usize)>,
     max_retry_after: Option<Micros>,
@@ -164,9 +164,9 @@
     messages: Option<Vec<Word>>,
     /// The machine's clock at zero of the broker's clock.
     origin: Micros,
-    books: Books,
+    counters: Books,
     /// The counters of each class, by class index.
-    rows: Vec<Row>,
+    class_counters: Vec<Row>,
     /// Names of classes and tenants by index. Keys are registered under names, since an index may change
     /// before the key is used again.
     names: Names,
@@ -181,25 +181,25 @@
         seed: u64,
         origin: Micros,
     ) -> Self {
-        let mut books = Books::default();
-        let rows = names.classes.iter().map(|name| books.row(name)).collect();
+        let mut counters = Books::default();
+        let class_counters = names.classes.iter().map(|name| counters.row(name)).collect();
         let (max_window, max_wait) = repeat_times(settings);
-        let mut repeats = Repeats::new(max_window, max_wait, MAX_KEYS);
-        repeats.allow_copies(settings.second_copies);
+        let mut key_register = Repeats::new(max_window, max_wait, MAX_KEYS);
+        key_register.allow_copies(settings.second_copies);
         Queries {
             pending: BTreeMap::new(),
             ids: BTreeSet::new(),
             shares: Shares::new(capacity),
-            repeats,
+            key_register,
             windows: windows(settings),
-            gate: Gate::new(seed),
+            limiter: Gate::new(seed),
             keyed: BTreeMap::new(),
             max_retry_after: settings.max_retry_after.map(millis),
             ended: Vec::new(),
             messages: None,
             origin,
-            books,
-            rows,
+            counters,
+            class_counters,
             names: names.clone(),
         }
     }
@@ -217,15 +217,16 @@
     /// All messages that a process needs that has just joined.
     pub(crate) fn all_updates(&self) -> Vec<Word> {
         let mut messages: Vec<Word> =
-            self.pending.values().map(|p| query_opened(&p.ask, &p.permit)).collect();
-        self.repeats.tell(|key, window, heard| messages.push(key_message(key, window, heard, self.origin)));
+            self.pending.values().map(|p| query_opened(&p.request, &p.permit)).collect();
+        self.key_register
+            .tell(|key, window, event| messages.push(key_message(key, window, event, self.origin)));
         messages
     }
 
     /// Records what another process of this broker did with a key.
     pub(crate) fn apply_update(&mut self, now: Micros, word: Word) {
         let at = |shared: Micros| shared.saturating_sub(self.origin);
-        let (key, whose, heard) = match word {
+        let (key, whose, event) = match word {
             Word::KeyOpened { key, until, whose } => (key, whose, Heard::Opened { until: at(until) }),
             Word::KeySent { key, shard, at: sent, until, whose } => {
                 (key, whose, Heard::Sent { shard: shard as usize, at: at(sent), until: at(until) })
@@ -237,43 +238,44 @@
             Word::Recall(_) | Word::Told | Word::Opened { .. } | Word::Closed { .. } => return,
         };
         let key = Key { text: key.into(), owner: whose.owner.into() };
-        if !self.repeats.hear(now, &key, whose.window, heard) {
-            warn!(name: "key_unheard", held = self.repeats.held());
+        if !self.key_register.hear(now, &key, whose.window, event) {
+            warn!(name: "key_unheard", held = self.key_register.held());
         }
     }
 
     /// Sets the number of processes of this broker, which share its limits.
     pub(crate) fn set_process_count(&mut self, processes: u32) {
-        self.gate.set_copies(processes);
+        self.limiter.set_copies(processes);
     }
 
     /// Applies new settings to queries that arrive from now on. Open queries keep the settings under which
     /// they were admitted.
     pub(crate) fn reconfigure(&mut self, settings: &Settings, names: &Names, capacity: usize) {
         let (max_window, max_wait) = repeat_times(settings);
-        self.repeats.retune(max_window, max_wait);
-        self.repeats.allow_copies(settings.second_copies);
+        self.key_register.retune(max_window, max_wait);
+        self.key_register.allow_copies(settings.second_copies);
         self.windows = windows(settings);
         self.shares.set_room(capacity);
         self.max_retry_after = settings.max_retry_after.map(millis);
-        self.rows = names.classes.iter().map(|name| self.books.row(name)).collect();
+        self.class_counters = names.classes.iter().map(|name| self.counters.row(name)).collect();
         self.names.clone_from(names);
     }
 
     /// Resets the limits of these tenant indices, which are now used by other tenants.
     pub(crate) fn reset_tenants(&mut self, tenants: &[usize]) {
-        self.gate.forget_tenants(tenants);
+        self.limiter.forget_tenants(tenants);
     }
 
     /// The key of a request and its window; `None` if the class's keys are not registered or the request has
     /// none.
-    fn key_of(&self, ask: &Ask) -> Option<(Key, Micros)> {
-        let window = self.windows.get(ask.class).copied().flatten()?;
+    fn key_of(&self, request: &Ask) -> Option<(Key, Micros)> {
+        let window = self.windows.get(request.class).copied().flatten()?;
         let name = |names: &[String], i: usize| names.get(i).cloned().unwrap_or_default();
-        let (tenant, class) = (name(&self.names.tenants, ask.tenant), name(&self.names.classes, ask.class));
+        let (tenant, class) =
+            (name(&self.names.tenants, request.tenant), name(&self.names.classes, request.class));
         // A name that a header can carry contains no zero byte, so the pair is unambiguous.
         let owner = format!("{tenant}\0{class}").into();
-        Some((Key { text: ask.key.clone()?, owner }, window))
+        Some((Key { text: request.key.clone()?, owner }, window))
     }
 
     /// Removes and returns the queries that have ended since the last call.
@@ -290,12 +292,12 @@
     pub(crate) fn status(&self, query: QueryId) -> Option<QueryStatus> {
         let pending = self.pending.get(&query)?;
         let PendingQuery { any_sent, omitted_weight, .. } = *pending;
-        Some(QueryStatus { class: pending.ask.class, any_sent, omitted_weight })
+        Some(QueryStatus { class: pending.request.class, any_sent, omitted_weight })
     }
 
     /// The weight of a part in its query's answer; 0 if the query has ended.
     pub(crate) fn weight(&self, query: QueryId, part: usize) -> f64 {
-        let part = self.pending.get(&query).and_then(|pending| pending.ask.parts.get(part));
+        let part = self.pending.get(&query).and_then(|pending| pending.request.parts.get(part));
         part.map_or(0.0, |part| part.weight)
     }
 
@@ -319,7 +321,7 @@
 
     /// Renders all metrics as text.
     pub(crate) fn render_metrics(&self, census: &Census) -> String {
-        self.books.render(census)
+        self.counters.render(census)
     }
 
     /// Whether no query is open.
@@ -328,10 +330,10 @@
     }
 
     /// Refuses a query at once, while the broker ramps up after a restart.
-    pub(crate) fn refuse(&mut self, ask: &Ask, client: &Client) {
-        let row = self.rows[ask.class];
-        self.books.take(row);
-        self.books.end(row, End::Declined);
+    pub(crate) fn refuse(&mut self, request: &Ask, client: &Client) {
+        let class_counter = self.class_counters[request.class];
+        self.counters.take(class_counter);
+        self.counters.end(class_counter, End::Declined);
         client.answer(Reply::Refused { retry_after: self.max_retry_after });
     }
 
@@ -341,56 +343,58 @@
         now: Micros,
         id: QueryId,
         connection: Connection,
-        ask: Ask,
+        request: Ask,
         client: Client,
-        beside: OtherProcesses<'_>,
+        siblings: OtherProcesses<'_>,
     ) -> Option<Query> {
-        let row = self.rows[ask.class];
-        let keyed = self.key_of(&ask);
-        let books = &mut self.books;
+        let class_counter = self.class_counters[request.class];
+        let keyed = self.key_of(&request);
+        let counters = &mut self.counters;
         let mut answer_at_once = |reply| {
             if let Some(end) = end_of(&reply) {
-                books.take(row);
-                books.end(row, end);
+                counters.take(class_counter);
+                counters.end(class_counter, end);
             }
             client.answer(reply);
             None
         };
         // Data servers know parts by the request's id: the parts of two requests with one id could not be
         // told apart.
-        if self.ids.contains(&ask.id) || beside.0.is_some_and(|n| n.has(&ask.id)) {
+        if self.ids.contains(&request.id) || siblings.0.is_some_and(|n| n.has(&request.id)) {
             let why = "X-Request-Id is that of a request in hand".to_owned();
             return answer_at_once(Reply::Bad { status: 400, why });
         }
-        let units = units(&ask);
+        let units = units(&request);
         if !self.shares.take(connection, units) {
             info!(name: "share_full", connection, held = self.shares.held());
             return answer_at_once(Reply::Refused { retry_after: self.max_retry_after });
         }
-        let mut permit = match self
-            .gate
-            .take_beside(now, &ask.limits, ask.tenant, |owner| beside.0.map_or(0, |n| n.in_hand(owner)))
-        {
+        let mut permit = match self.limiter.take_beside(now, &request.limits, request.tenant, |owner| {
+            siblings.0.map_or(0, |n| n.in_hand(owner))
+        }) {
             Ok(permit) => permit,
             Err(refused) => {
                 self.shares.give_back(connection, units);
-                info!(name: "limit_reached", limit = refused.limit, section = %refused.owner, tenant = ask.tenant, shared = refused.shared);
+                info!(
+                    name: "limit_reached", limit = refused.limit, section = %refused.owner, tenant = request.tenant,
+                    shared = refused.shared
+                );
                 let retry_after = self.max_retry_after.map(|most| most.min(refused.wait));
                 return answer_at_once(Reply::Refused { retry_after });
             }
         };
-        let give_up_at = now + ask.patience;
+        let deadline = now + request.patience;
         if let Some((key, window)) = &keyed {
-            let shards = ask.parts.iter().map(|p| p.shard);
+            let shards = request.parts.iter().map(|p| p.shard);
             // A process of which nothing is known may be sending parts of this key.
-            let verdict = match beside.keyed(now) {
-                Keyed::Wait(until) => Verdict::Busy(until.min(give_up_at)),
-                Keyed::May => self.repeats.open(now, key, shards, give_up_at, *window),
+            let verdict = match siblings.keyed(now) {
+                Keyed::Wait(until) => Verdict::Busy(until.min(deadline)),
+                Keyed::May => self.key_register.open(now, key, shards, deadline, *window),
             };
             if verdict != Verdict::Serve {
                 self.shares.give_back(connection, units);
-                self.gate.give_back(std::mem::take(&mut permit));
-                info!(name: "key_repeated", connection, id = %ask.id, verdict = ?verdict);
+                self.limiter.give_back(std::mem::take(&mut permit));
+                info!(name: "key_repeated", connection, id = %request.id, verdict = ?verdict);
             }
             match verdict {
                 Verdict::Serve => {}
@@ -405,31 +409,31 @@
         }
         let query = Query {
             id,
-            class: ask.class,
-            tenant: ask.tenant,
-            give_up_at,
-            limits: ask.limits.clone(),
-            again: ask.again,
-            parts: ask.parts.clone(),
+            class: request.class,
+            tenant: request.tenant,
+            give_up_at: deadline,
+            limits: request.limits.clone(),
+            again: request.again,
+            parts: request.parts.clone(),
         };
-        let span = debug_span!("query", query = id, connection, id = %ask.id);
-        span.in_scope(|| debug!(name: "query_taken", class = ask.class, parts = ask.parts.len()));
+        let span = debug_span!("query", query = id, connection, id = %request.id);
+        span.in_scope(|| debug!(name: "query_taken", class = request.class, parts = request.parts.len()));
         if let Some(messages) = &mut self.messages {
-            messages.push(query_opened(&ask, &permit));
-            let heard = Heard::Opened { until: give_up_at };
+            messages.push(query_opened(&request, &permit));
+            let event = Heard::Opened { until: deadline };
             messages.extend(
-                keyed.iter().map(|(key, window)| key_message(key, Some(*window), heard, self.origin)),
+                keyed.iter().map(|(key, window)| key_message(key, Some(*window), event, self.origin)),
             );
         }
-        self.ids.insert(ask.id.clone());
-        let values = vec![None; ask.parts.len()];
-        self.books.take(row);
+        self.ids.insert(request.id.clone());
+        let values = vec![None; request.parts.len()];
+        self.counters.take(class_counter);
         let (any_sent, omitted_weight) = (false, 0.0);
         let pending = PendingQuery {
-            row,
+            class_counter,
             connection,
             permit,
-            ask,
+            request,
             key: keyed,
             client,
             values,
@@ -452,7 +456,7 @@
     pub(crate) fn finish(&mut self, now: Micros, query: QueryId, reply: impl FnOnce(Values) -> Reply) {
         let Some(pending) = self.pending.get_mut(&query) else { return };
         let values = std::mem::take(&mut pending.values);
-        let shards = pending.ask.parts.iter().map(|p| p.shard);
+        let shards = pending.request.parts.iter().map(|p| p.shard);
         let reply = reply(shards.zip(values).filter_map(|(shard, v)| Some((shard, v?))).collect());
         let end = end_of(&reply).unwrap_or(End::Aborted);
         let Some(pending) = self.close(now, query, end) else { return };
@@ -464,18 +468,18 @@
     fn close(&mut self, now: Micros, query: QueryId, end: End) -> Option<PendingQuery> {
         let mut pending = self.pending.remove(&query)?;
         self.ended.push(query);
-        self.books.end(pending.row, end);
-        self.gate.give_back(std::mem::take(&mut pending.permit));
+        self.counters.end(pending.class_counter, end);
+        self.limiter.give_back(std::mem::take(&mut pending.permit));
         if let Some(messages) = &mut self.messages {
-            messages.push(Word::Closed { id: pending.ask.id.as_ref().to_owned() });
-            let heard = Heard::Closed { answered: end == End::Succeeded };
-            let closed = |(key, window): &(Key, Micros)| key_message(key, Some(*window), heard, self.origin);
+            messages.push(Word::Closed { id: pending.request.id.as_ref().to_owned() });
+            let event = Heard::Closed { answered: end == End::Succeeded };
+            let closed = |(key, window): &(Key, Micros)| key_message(key, Some(*window), event, self.origin);
             messages.extend(pending.key.as_ref().map(closed));
         }
-        self.ids.remove(&pending.ask.id);
+        self.ids.remove(&pending.request.id);
         self.shares.give_back(pending.connection, pending.units());
         if let Some((key, _)) = &pending.key {
-            self.repeats.close(now, key, end == End::Succeeded);
+            self.key_register.close(now, key, end == End::Succeeded);
         }
         Some(pending)
     }
@@ -484,31 +488,34 @@
     pub(crate) fn prepare(&mut self, now: Micros, dispatch: Dispatch) -> Result<DispatchedAttempt, Withheld> {
         let pending = self.pending.get_mut(&dispatch.attempt.query).ok_or(Withheld::QueryEnded)?;
         pending.any_sent = true;
-        let part = pending.ask.parts.get(dispatch.attempt.part).ok_or(Withheld::QueryEnded)?;
+        let part = pending.request.parts.get(dispatch.attempt.part).ok_or(Withheld::QueryEnded)?;
         let mut write_deadline = Micros::MAX;
         if let Some((key, window)) = &pending.key {
-            if !self.repeats.may_send(now, key, part.shard) {
+            if !self.key_register.may_send(now, key, part.shard) {
                 return Err(Withheld::Repeat);
             }
-            write_deadline = self.repeats.until(key, part.shard).unwrap_or(write_deadline);
+            write_deadline = self.key_register.until(key, part.shard).unwrap_or(write_deadline);
             if let Some(messages) = &mut self.messages {
-                let heard = Heard::Sent { shard: part.shard, at: now, until: dispatch.until };
-                messages.push(key_message(key, Some(*window), heard, self.origin));
+                let event = Heard::Sent { shard: part.shard, at: now, until: dispatch.until };
+                messages.push(key_message(key, Some(*window), event, self.origin));
             }
-            self.repeats.sent(now, key, part.shard, dispatch.until);
+            self.key_register.sent(now, key, part.shard, dispatch.until);
             self.keyed.insert(dispatch.attempt, (key.clone(), *window, part.shard));
         }
-        pending.span.in_scope(
-            || debug!(name: "part_sent", shard = part.shard, attempt = dispatch.attempt.attempt, server = %dispatch.server.0),
-        );
+        pending.span.in_scope(|| {
+            debug!(
+                name: "part_sent", shard = part.shard, attempt = dispatch.attempt.attempt,
+                server = %dispatch.server.0
+            )
+        });
         Ok(DispatchedAttempt {
             attempt: dispatch.attempt,
             server: dispatch.server,
             deadline: dispatch.until,
             write_deadline,
-            part: PartId { request: pending.ask.id.clone(), shard: part.shard },
-            key: pending.ask.key.clone(),
-            text: pending.ask.text.clone(),
+            part: PartId { request: pending.request.id.clone(), shard: part.shard },
+            key: pending.request.key.clone(),
+            text: pending.request.text.clone(),
             client: pending.client.presence().clone(),
         })
     }
@@ -529,7 +536,7 @@
                     self.origin,
                 ));
             }
-            self.repeats.ended(now, &key, shard, proof);
+            self.key_register.ended(now, &key, shard, proof);
         }
         let Some(pending) = self.pending.get_mut(&ended.attempt.query) else { return };
         pending
--- a/crates/broker/src/queries/tests.rs
+++ b/crates/broker/src/queries/tests.rs
@@ -23,8 +23,8 @@
 }
 
 /// Admits a query of one part with a key. Returns its id, or the reply that it was answered with at once.
-fn ask(queries: &mut Queries, now: Micros, id: QueryId, class: usize, key: &str) -> Result<QueryId, Reply> {
-    let ask = Ask {
+fn admit(queries: &mut Queries, now: Micros, id: QueryId, class: usize, key: &str) -> Result<QueryId, Reply> {
+    let request = Ask {
         id: format!("r{id}").into(),
         class,
         tenant: 0,
@@ -36,7 +36,7 @@
         limits: Default::default(),
     };
     let (client, reply) = Client::new(1);
-    match queries.admit(now, id, 1, ask, client, OtherProcesses(None)) {
+    match queries.admit(now, id, 1, request, client, OtherProcesses(None)) {
         Some(_) => Ok(id),
         None => Err(reply.try_recv().unwrap()),
     }
@@ -62,11 +62,11 @@
     let mut q = queries(&settings(|s| s.classes[0].semantics = Semantics::Unsafe));
     for (class, served) in [(0, false), (1, true)] {
         let key = format!("k{class}");
-        let id = ask(&mut q, 0, 10 + class as u64, class, &key).unwrap();
+        let id = admit(&mut q, 0, 10 + class as u64, class, &key).unwrap();
         let attempt = send(&mut q, 0, id, 0).unwrap();
         end(&mut q, 10, attempt, Outcome::ConnectionLost);
         q.client_gone(20, id);
-        let retry = ask(&mut q, SECOND, 20 + class as u64, class, &key);
+        let retry = admit(&mut q, SECOND, 20 + class as u64, class, &key);
         assert_eq!(retry.is_ok(), served, "class {class}: {retry:?}");
         assert!(served || retry == Err(Reply::Failed));
     }
@@ -78,7 +78,7 @@
 fn a_keyed_part_is_hedged_if_the_settings_allow_it() {
     for allowed in [false, true] {
         let mut q = queries(&settings(|s| s.second_copies = allowed));
-        let id = ask(&mut q, 0, 1, 1, "k").unwrap();
+        let id = admit(&mut q, 0, 1, 1, "k").unwrap();
         send(&mut q, 0, id, 0).unwrap();
         assert_eq!(send(&mut q, 10, id, 1).is_ok(), allowed);
         q.reconfigure(&settings(|s| s.second_copies = !allowed), &names(), 100);
@@ -94,12 +94,12 @@
     assert_eq!(repeat_times(&settings(|_| ())), (5 * SECOND, 60 * SECOND));
     // A key used while its class has no window is not registered.
     let mut q = queries(&none);
-    ask(&mut q, 0, 1, 1, "k").unwrap();
-    assert!(ask(&mut q, 10, 2, 1, "k").is_ok());
+    admit(&mut q, 0, 1, 1, "k").unwrap();
+    assert!(admit(&mut q, 10, 2, 1, "k").is_ok());
     q.reconfigure(&settings(|_| ()), &names(), 100);
-    ask(&mut q, 20, 3, 1, "k").unwrap();
+    admit(&mut q, 20, 3, 1, "k").unwrap();
     assert!(
-        ask(&mut q, 30, 4, 1, "k").is_err(),
+        admit(&mut q, 30, 4, 1, "k").is_err(),
         "the class has a window again, and the query with this key is open"
     );
 }
--- a/crates/broker/src/run.rs
+++ b/crates/broker/src/run.rs
@@ -2,7 +2,7 @@
 
 use crate::coming::{self, WayBack};
 use crate::doors::Doors;
-use crate::event_loop::{Accounted, Broker};
+use crate::event_loop::{Broker, OverheadAccounting};
 use crate::extensions::Extensions;
 use crate::front::{Fronts, Plan, Shared};
 use crate::hand_over::HandOver;
@@ -171,7 +171,7 @@
         deferred: Vec::new(),
         refusals_logged: 0,
         busy,
-        accounted: Accounted::default(),
+        overhead: OverheadAccounting::default(),
         extensions,
     };
     broker.start(ListScope::Known, &config.known);
