--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -376,10 +376,10 @@
             Err(refused) => {
                 self.shares.give_back(connection, units);
                 info!(
-                    name: "limit_reached", limit = refused.limit, section = %refused.owner, tenant = request.tenant,
-                    shared = refused.shared
+                    name: "limit_reached", limit = refused.limit, section = %refused.owner,
+                    tenant = request.tenant, shared = refused.shared
                 );
-                let retry_after = self.max_retry_after.map(|most| most.min(refused.wait));
+                let retry_after = self.max_retry_after.map(|max| max.min(refused.wait));
                 return answer_at_once(Reply::Refused { retry_after });
             }
         };
@@ -401,7 +401,7 @@
                 Verdict::Busy(until) | Verdict::Taken(until) => {
                     let wait = until.saturating_sub(now);
                     return answer_at_once(Reply::Refused {
-                        retry_after: self.max_retry_after.map(|most| most.min(wait)),
+                        retry_after: self.max_retry_after.map(|max| max.min(wait)),
                     });
                 }
                 Verdict::Over => return answer_at_once(Reply::Failed),
--- a/crates/broker/src/upstream/endings.rs
+++ b/crates/broker/src/upstream/endings.rs
@@ -189,7 +189,10 @@
     /// servers fail.
     pub(super) fn close_corrupt(&mut self, now: Micros, id: u64, error: &str) {
         let Some(pooled) = self.connections.get(&id) else { return };
-        warn!(name: "upstream_bad_frame", server = %pooled.server.name.0, error, out = pooled.in_flight.len());
+        warn!(
+            name: "upstream_bad_frame", server = %pooled.server.name.0, error,
+            out = pooled.in_flight.len()
+        );
         let unwritten = pooled.connection.unwritten();
         let mut attempts: Vec<AttemptId> = pooled.in_flight.iter().map(|(_, attempt)| *attempt).collect();
         attempts.sort_by_key(|attempt| (self.in_flight.get(attempt).map(|f| f.sent), *attempt));
