--- a/crates/core/tests/day.rs
+++ b/crates/core/tests/day.rs
@@ -156,8 +156,9 @@
     fn work(&mut self, now: Micros, settings: &Settings) -> Vec<Job> {
         let cold = &settings.cold;
         let warmth = self.started.map_or(1.0, |at| (now - at) as f64 / 1000.0 / cold.warm_after).min(1.0);
-        let work_done = self.speed * (cold.initial_capacity + (1.0 - cold.initial_capacity) * warmth) * TICK as f64
-            / MILLI as f64;
+        let work_done =
+            self.speed * (cold.initial_capacity + (1.0 - cold.initial_capacity) * warmth) * TICK as f64
+                / MILLI as f64;
         self.jobs.iter_mut().take(CORES).for_each(|j| j.remaining -= work_done);
         self.jobs.extract_if(.., |j| j.remaining <= 0.0).collect()
     }
