--- a/crates/brookbend/src/part_index.rs
+++ b/crates/brookbend/src/part_index.rs
@@ -1,6 +1,7 @@
-//! Where the pieces of a held query stand, which of them a turn has to look at, and what they add up to.
+//! Index of an open query's parts by status, and running totals over them.
 //!
-//! Nothing here decides anything: sums and sets are kept as pieces change, in place of what would be gone through anew.
+//! A turn uses the index to visit only the parts that need a decision. This module decides nothing itself:
+//! sets and sums are updated as parts change, so that no turn has to recompute them from all parts.
 
 use crate::api::*;
 use crate::choice::{Aggregator, ROUNDING};
@@ -8,10 +9,11 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeSet, BinaryHeap};
 
-/// Sums that are kept may be off by this share of all that was added: nearer to a limit they are added up anew.
+/// Upper bound on the rounding error of a running sum, as a share of everything that was added to it.
+/// Comparisons with a limit that is closer than this need an exact recomputation.
 const MAX_RELATIVE_ERROR: f64 = 1e-9;
 
-/// A moment, in order.
+/// A time in milliseconds with a total order, for use as a key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct OrderedTime(pub(crate) Ms);
 
@@ -29,219 +31,232 @@
     }
 }
 
-/// Where a piece stands.
+/// Status of a part, from the outcome and the age of its latest attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum PartStatus {
-    /// Served, or of a step that is over, or never to be asked for.
+    /// Served, part of a finished step, or without any attempt allowed.
     #[default]
     Done,
-    /// To be asked for.
+    /// No attempt was sent yet.
     Unsent,
-    /// To be asked for once another is in trouble.
+    /// No attempt was sent yet; one is sent only once another part fails or is late.
     Reserve,
-    /// Its latest attempt has ended, and another may follow.
+    /// The latest attempt ended without an answer, and another attempt is allowed.
     Failed,
-    /// Its latest attempt has ended, and no other may follow.
+    /// The latest attempt ended without an answer, and no other attempt is allowed.
     Exhausted,
-    /// Its latest attempt is out, and not yet for as long as expected.
+    /// The latest attempt is in flight and within its expected time.
     Waiting,
-    /// It is out for longer than expected, and not yet late.
+    /// The latest attempt is in flight beyond its expected time but not yet late.
     BeyondExpected,
-    /// It is late, and another may follow.
+    /// The latest attempt is late, and another attempt is allowed.
     Late,
-    /// It is late, and no other may follow.
+    /// The latest attempt is late, and no other attempt is allowed.
     LateExhausted,
 }
 
-/// The pieces of a query by where they stand, as far as they are to be found.
+/// The positions of a query's parts by status. Parts that are done are not indexed; exhausted ones are only
+/// counted.
 #[derive(Default)]
 pub(crate) struct PartIndex {
     pub(crate) unsent: BTreeSet<usize>,
     pub(crate) reserve: BTreeSet<usize>,
     pub(crate) failed: BTreeSet<usize>,
     exhausted: usize,
-    /// When what is out will be for as long as expected: the piece, and how many attempts it had. Some have ended since.
+    /// Parts in flight, by the time at which they exceed their expected time: that time, the part's position
+    /// and its number of attempts. Entries are not removed when an attempt ends; a stale one differs in
+    /// status or number of attempts.
     pub(crate) waiting: BinaryHeap<Reverse<(OrderedTime, usize, usize)>>,
-    /// By when it was sent.
+    /// Ordered by the time at which the latest attempt was sent.
     pub(crate) beyond_expected: BTreeSet<(OrderedTime, usize)>,
     pub(crate) late: BTreeSet<usize>,
     pub(crate) late_exhausted: BTreeSet<usize>,
-    /// Attempts are not late before this time.
+    /// Minimum age of an attempt, in milliseconds, before it counts as late.
     pub(crate) late_floor: Ms,
 }
 
 impl PartIndex {
-    fn insert(&mut self, i: usize, p: &Piece) {
-        let last = p.tries.last().map_or((0.0, 0.0), |t| (t.sent, t.expected));
-        match p.status {
+    fn insert(&mut self, position: usize, part: &Piece) {
+        let last = part.tries.last().map_or((0.0, 0.0), |t| (t.sent, t.expected));
+        match part.status {
             PartStatus::Done => {}
-            PartStatus::Unsent => drop(self.unsent.insert(i)),
-            PartStatus::Reserve => drop(self.reserve.insert(i)),
-            PartStatus::Failed => drop(self.failed.insert(i)),
+            PartStatus::Unsent => drop(self.unsent.insert(position)),
+            PartStatus::Reserve => drop(self.reserve.insert(position)),
+            PartStatus::Failed => drop(self.failed.insert(position)),
             PartStatus::Exhausted => self.exhausted += 1,
             PartStatus::Waiting => {
-                self.waiting.push(Reverse((OrderedTime(last.0 + last.1), i, p.tries.len())))
+                self.waiting.push(Reverse((OrderedTime(last.0 + last.1), position, part.tries.len())))
             }
-            PartStatus::BeyondExpected => drop(self.beyond_expected.insert((OrderedTime(last.0), i))),
-            PartStatus::Late => drop(self.late.insert(i)),
-            PartStatus::LateExhausted => drop(self.late_exhausted.insert(i)),
+            PartStatus::BeyondExpected => drop(self.beyond_expected.insert((OrderedTime(last.0), position))),
+            PartStatus::Late => drop(self.late.insert(position)),
+            PartStatus::LateExhausted => drop(self.late_exhausted.insert(position)),
         }
     }
 
-    fn remove(&mut self, i: usize, p: &Piece) {
-        let sent = p.tries.last().map_or(0.0, |t| t.sent);
-        match p.status {
+    fn remove(&mut self, position: usize, part: &Piece) {
+        let sent = part.tries.last().map_or(0.0, |t| t.sent);
+        match part.status {
             PartStatus::Done | PartStatus::Waiting => {}
-            PartStatus::Unsent => drop(self.unsent.remove(&i)),
-            PartStatus::Reserve => drop(self.reserve.remove(&i)),
-            PartStatus::Failed => drop(self.failed.remove(&i)),
+            PartStatus::Unsent => drop(self.unsent.remove(&position)),
+            PartStatus::Reserve => drop(self.reserve.remove(&position)),
+            PartStatus::Failed => drop(self.failed.remove(&position)),
             PartStatus::Exhausted => self.exhausted -= 1,
-            PartStatus::BeyondExpected => drop(self.beyond_expected.remove(&(OrderedTime(sent), i))),
-            PartStatus::Late => drop(self.late.remove(&i)),
-            PartStatus::LateExhausted => drop(self.late_exhausted.remove(&i)),
+            PartStatus::BeyondExpected => drop(self.beyond_expected.remove(&(OrderedTime(sent), position))),
+            PartStatus::Late => drop(self.late.remove(&position)),
+            PartStatus::LateExhausted => drop(self.late_exhausted.remove(&position)),
         }
     }
 
-    /// Whether a piece was asked for, and its latest attempt has failed or is late.
+    /// Whether the latest attempt of any part that was sent has failed or is late.
     pub(crate) fn any_failed_or_late(&self) -> bool {
         self.exhausted > 0
             || !(self.failed.is_empty() && self.late.is_empty() && self.late_exhausted.is_empty())
     }
 }
 
-/// What the pieces of a query add up to.
+/// Running totals over the parts of a query.
 #[derive(Debug, Default)]
 pub(crate) struct PartTotals {
-    /// Of all: how many are served, and the longest attempt at one of them.
+    /// Number of served parts over all steps, and the longest time that an attempt at one of them took.
     pub(crate) served: usize,
     pub(crate) max_attempt_time: Ms,
-    /// Of the step at hand: how many are served, and their weight.
+    /// Number of served parts in the current step, and their weight.
     pub(crate) step_served: usize,
     pub(crate) served_weight: f64,
-    /// The weight of those that may still come: with an attempt out, without any yet, with none but ended ones; and of each
-    /// kind what is not left out, and what is.
+    /// Weight of the unserved parts of the current step that may still be served: with an attempt in flight,
+    /// without any attempt yet, and with ended attempts only. For each of the three: the parts that are not
+    /// omitted, and those that are.
     pending_weight: [[f64; 2]; 3],
-    /// The weight of those that are left out or have had all their attempts.
+    /// Weight of the parts that are omitted or have used all their attempts without being served.
     pub(crate) missing_weight: f64,
-    /// The weight of all.
+    /// Weight of all parts of the current step.
     total_weight: f64,
 }
 
 impl PartTotals {
-    fn add(&mut self, p: &Piece, q: (bool, u32), sign: f64) {
-        let (step, most) = q;
-        if p.served {
+    /// Adds a part with `sign` 1, or subtracts it with -1. `scope` holds whether the part belongs to the
+    /// current step and the maximum number of attempts.
+    fn add(&mut self, part: &Piece, scope: (bool, u32), sign: f64) {
+        let (in_step, max_attempts) = scope;
+        if part.served {
             self.served = self.served.wrapping_add_signed(sign as isize);
         }
-        if !step {
+        if !in_step {
             return;
         }
-        let weight = sign * p.weight;
+        let weight = sign * part.weight;
         self.total_weight += weight;
-        if is_missing(p, most) {
+        if is_missing(part, max_attempts) {
             self.missing_weight += weight;
         }
-        let left = usize::from(p.left);
-        if p.served {
+        let omitted = usize::from(part.left);
+        if part.served {
             self.step_served = self.step_served.wrapping_add_signed(sign as isize);
             self.served_weight += weight;
-        } else if p.tries.iter().any(|t| t.outcome.is_none()) {
-            self.pending_weight[0][left] += weight;
-        } else if p.housed && p.tried() < most {
-            self.pending_weight[if p.tries.is_empty() { 1 } else { 2 }][left] += weight;
+        } else if part.tries.iter().any(|t| t.outcome.is_none()) {
+            self.pending_weight[0][omitted] += weight;
+        } else if part.housed && part.tried() < max_attempts {
+            self.pending_weight[if part.tries.is_empty() { 1 } else { 2 }][omitted] += weight;
         }
     }
 
-    /// The weight of those that are in or may still come.
-    pub(crate) fn possible_weight(&self, spoiled: bool, with_left: bool) -> f64 {
-        let kinds = &self.pending_weight[..if spoiled { 2 } else { 3 }];
-        let sum = |k: &[f64; 2]| k[0] + if with_left { k[1] } else { 0.0 };
+    /// Weight of the parts that are served or may still be. `suspect`: the query gets no further attempts at
+    /// parts that have had one. `with_omitted`: parts that are omitted for now count too.
+    pub(crate) fn possible_weight(&self, suspect: bool, with_omitted: bool) -> f64 {
+        let kinds = &self.pending_weight[..if suspect { 2 } else { 3 }];
+        let sum = |kind: &[f64; 2]| kind[0] + if with_omitted { kind[1] } else { 0.0 };
         self.served_weight + kinds.iter().map(sum).sum::<f64>()
     }
 
+    /// Upper bound on the rounding error of any of these weights.
     pub(crate) fn max_rounding_error(&self) -> f64 {
         MAX_RELATIVE_ERROR * (1.0 + self.total_weight)
     }
 }
 
-pub(crate) fn is_missing(p: &Piece, most: u32) -> bool {
-    p.left || !p.served && p.tried() >= most
+/// Whether a part is omitted, or unserved with all its attempts used.
+pub(crate) fn is_missing(part: &Piece, max_attempts: u32) -> bool {
+    part.left || !part.served && part.tried() >= max_attempts
 }
 
 impl Held {
-    /// Takes a piece out of what is kept, before it changes.
-    pub(crate) fn unindex_part(&mut self, i: usize) {
-        let p = &self.pieces[i];
-        self.part_index.remove(i, p);
-        self.totals.add(p, (i >= self.step_from, self.max_attempts), -1.0);
+    /// Removes a part from the index and the totals. Call this before the part changes.
+    pub(crate) fn unindex_part(&mut self, position: usize) {
+        let part = &self.pieces[position];
+        self.part_index.remove(position, part);
+        self.totals.add(part, (position >= self.step_from, self.max_attempts), -1.0);
     }
 
-    /// Puts it back, where it stands now.
-    pub(crate) fn index_part(&mut self, set: &Settings, now: Ms, i: usize) {
-        let stand = self.part_status(set, now, i);
-        let p = &mut self.pieces[i];
-        p.status = stand;
-        self.totals.add(p, (i >= self.step_from, self.max_attempts), 1.0);
-        if p.served {
+    /// Determines the status of a part and adds it to the index and the totals again.
+    pub(crate) fn index_part(&mut self, settings: &Settings, now: Ms, position: usize) {
+        let status = self.part_status(settings, now, position);
+        let part = &mut self.pieces[position];
+        part.status = status;
+        self.totals.add(part, (position >= self.step_from, self.max_attempts), 1.0);
+        if part.served {
             self.totals.max_attempt_time =
-                p.tries.iter().map(|t| t.took).fold(self.totals.max_attempt_time, f64::max);
+                part.tries.iter().map(|t| t.took).fold(self.totals.max_attempt_time, f64::max);
         }
-        self.part_index.insert(i, p);
+        self.part_index.insert(position, part);
     }
 
-    /// All anew.
-    pub(crate) fn rebuild_index(&mut self, set: &Settings, now: Ms) {
+    /// Recomputes the index and the totals from all parts.
+    pub(crate) fn rebuild_index(&mut self, settings: &Settings, now: Ms) {
         self.part_index = PartIndex { late_floor: self.part_index.late_floor, ..PartIndex::default() };
         self.totals = PartTotals::default();
-        (0..self.pieces.len()).for_each(|i| self.index_part(set, now, i));
+        (0..self.pieces.len()).for_each(|position| self.index_part(settings, now, position));
     }
 
-    /// Whether the class lets a query do without some of its pieces: then each that is idle is looked at in each turn.
-    pub(crate) fn may_omit_parts(&self, set: &Settings) -> bool {
-        let class = &set.classes[self.class];
+    /// Whether the class lets a query omit some of its parts. Each part without an attempt in flight is then
+    /// visited in every turn.
+    pub(crate) fn may_omit_parts(&self, settings: &Settings) -> bool {
+        let class = &settings.classes[self.class];
         self.step_from == 0 && class.need - class.floor > ROUNDING
     }
 
-    fn part_status(&self, set: &Settings, now: Ms, i: usize) -> PartStatus {
-        let p = &self.pieces[i];
-        if p.served || i < self.step_from {
+    fn part_status(&self, settings: &Settings, now: Ms, position: usize) -> PartStatus {
+        let part = &self.pieces[position];
+        if part.served || position < self.step_from {
             return PartStatus::Done;
         }
-        let over = p.tried() >= self.max_attempts;
-        let Some(last) = p.tries.last() else {
-            return match (over, p.reserve) {
+        let exhausted = part.tried() >= self.max_attempts;
+        let Some(last) = part.tries.last() else {
+            return match (exhausted, part.reserve) {
                 (true, _) => PartStatus::Done,
                 (false, true) => PartStatus::Reserve,
                 (false, false) => PartStatus::Unsent,
             };
         };
         let age = now - last.sent;
-        let repeats = |idle: bool| {
-            !over && (idle && self.may_omit_parts(set) || Aggregator::may_repeat(set, now, self, p))
+        let may_repeat = |idle: bool| {
+            !exhausted
+                && (idle && self.may_omit_parts(settings)
+                    || Aggregator::may_repeat(settings, now, self, part))
         };
         match (last.outcome, age > last.expected, age > self.part_index.late_floor) {
-            (Some(_), ..) if repeats(true) => PartStatus::Failed,
+            (Some(_), ..) if may_repeat(true) => PartStatus::Failed,
             (Some(_), ..) => PartStatus::Exhausted,
             (None, false, _) => PartStatus::Waiting,
             (None, true, false) => PartStatus::BeyondExpected,
-            (None, true, true) if repeats(false) => PartStatus::Late,
+            (None, true, true) if may_repeat(false) => PartStatus::Late,
             (None, true, true) => PartStatus::LateExhausted,
         }
     }
 
-    /// The next piece after this one that a turn has to look at; `blocked`: no attempt beyond a first may go in it.
-    pub(crate) fn next_part(&self, set: &Settings, from: usize, blocked: bool) -> Option<usize> {
-        let a = &self.part_index;
-        let next = |of: &BTreeSet<usize>, wanted: bool| {
-            if wanted { of.range(from..).next().copied() } else { None }
+    /// Position of the next part, from `from` on, that a turn has to visit. `blocked`: the turn may not send
+    /// any attempt beyond a part's first.
+    pub(crate) fn next_part(&self, settings: &Settings, from: usize, blocked: bool) -> Option<usize> {
+        let index = &self.part_index;
+        let next = |set: &BTreeSet<usize>, wanted: bool| {
+            if wanted { set.range(from..).next().copied() } else { None }
         };
-        let leaves = self.may_omit_parts(set);
-        let tried = !blocked || leaves;
+        let may_omit = self.may_omit_parts(settings);
+        let with_retries = !blocked || may_omit;
         [
-            next(&a.unsent, true),
-            next(&a.reserve, leaves || a.any_failed_or_late()),
-            next(&a.failed, tried),
-            next(&a.late, tried),
+            next(&index.unsent, true),
+            next(&index.reserve, may_omit || index.any_failed_or_late()),
+            next(&index.failed, with_retries),
+            next(&index.late, with_retries),
         ]
         .into_iter()
         .flatten()
--- a/crates/brookbend/src/query_table.rs
+++ b/crates/brookbend/src/query_table.rs
@@ -1,4 +1,5 @@
-//! What an aggregator has in hand, and what is noted in it as parts come and attempts end. Nothing here decides anything.
+//! The open queries of an aggregator, and the records that it keeps as parts arrive and attempts end. Nothing
+//! here decides anything.
 
 use crate::api::*;
 use crate::choice::Aggregator;
@@ -9,151 +10,158 @@
 use crate::state::{Flight, Held, Piece};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What an aggregator has in hand.
+/// Open queries, attempts in flight, and what is counted about them.
 #[derive(Default)]
 pub(crate) struct QueryTable {
     pub(crate) by_id: BTreeMap<RequestId, Held>,
+    /// Query by the group number that its parts carry.
     pub(crate) groups: BTreeMap<u64, RequestId>,
-    /// Of each part: its query, and its place there.
+    /// By part: its query, and its position there.
     pub(crate) part_positions: BTreeMap<RequestId, (RequestId, usize)>,
+    /// Attempts that have not ended, by part and number of the attempt.
     pub(crate) in_flight: BTreeMap<(RequestId, u32), Flight>,
-    /// When queries and parts came, and when further attempts went.
+    /// When queries and parts arrived, and when attempts beyond a part's first were sent, within the window
+    /// of the attempt budget.
     pub(crate) arrivals: VecDeque<Ms>,
     pub(crate) extra_attempts: VecDeque<Ms>,
     /// Queries that were refused on arrival.
     pub(crate) refusals: Refusals,
-    /// Work served since the last second began; and, smoothed, by each warm server in a millisecond.
+    /// Work that warm servers have served since the current second began, in milliseconds.
     pub(crate) served_work: Ms,
+    /// Smoothed work that each warm server serves in a millisecond.
     pub(crate) served_rate: f64,
-    /// How often parts want a server.
+    /// How often parts need a server.
     pub(crate) demand: Demand,
     pub(crate) schedule: Schedule,
-    /// Whether this aggregator stood still before this batch.
+    /// Whether this batch came late because this aggregator itself was paused.
     pub(crate) paused: bool,
 }
 
 impl QueryTable {
-    /// The servers that something in hand refers to.
+    /// The servers that an open query or an attempt in flight refers to.
     pub(crate) fn referenced_servers(&self) -> BTreeSet<usize> {
-        let pieces = || self.by_id.values().flat_map(|q| &q.pieces);
-        let tried = pieces().flat_map(|p| p.tries.iter().map(|t| t.server));
-        let flying = self.in_flight.values().map(|f| f.server);
-        tried.chain(pieces().filter_map(|p| p.row_holder)).chain(flying).collect()
+        let parts = || self.by_id.values().flat_map(|q| &q.pieces);
+        let attempted = parts().flat_map(|p| p.tries.iter().map(|t| t.server));
+        let in_flight = self.in_flight.values().map(|f| f.server);
+        attempted.chain(parts().filter_map(|p| p.row_holder)).chain(in_flight).collect()
     }
 }
 
 impl Aggregator {
-    pub(crate) fn add_query(&mut self, q: Query) {
+    /// Records a query that has arrived. Fails it at once if the settings have no classes.
+    pub(crate) fn add_query(&mut self, query: Query) {
         if self.set.classes.is_empty() {
-            return self.out.push(Action::Fail { query: q.id });
+            return self.out.push(Action::Fail { query: query.id });
         }
         self.queries.arrivals.push_back(self.now);
-        if let Some(times) = self.tenant_taken.get_mut(q.tenant.0) {
+        if let Some(times) = self.tenant_taken.get_mut(query.tenant.0) {
             times.push_back(self.now);
         }
-        self.queries.groups.insert(q.group, q.id.clone());
-        let class = q.class.0.min(self.set.classes.len().saturating_sub(1));
-        let held = Held {
-            asked: self.first_asked(class, &q),
+        self.queries.groups.insert(query.group, query.id.clone());
+        let class = query.class.0.min(self.set.classes.len().saturating_sub(1));
+        let state = Held {
+            asked: self.first_asked(class, &query),
             class,
-            tenant: q.tenant.0,
-            group: q.group,
+            tenant: query.tenant.0,
+            group: query.group,
             arrived: self.now,
-            give_up_at: q.give_up_at,
-            max_attempts: q.max_attempts.unwrap_or(u32::MAX).min(self.set.max_attempts),
+            give_up_at: query.give_up_at,
+            max_attempts: query.max_attempts.unwrap_or(u32::MAX).min(self.set.max_attempts),
             ..Default::default()
         };
-        self.queries.schedule.mark_changed(&q.id);
-        self.queries.by_id.insert(q.id, held);
+        self.queries.schedule.mark_changed(&query.id);
+        self.queries.by_id.insert(query.id, state);
     }
 
-    pub(crate) fn add_part(&mut self, p: Part) {
+    /// Adds a part that has arrived to its query. Ignores it if the query is not open.
+    pub(crate) fn add_part(&mut self, part: Part) {
         self.queries.arrivals.push_back(self.now);
-        let Some(id) = self.queries.groups.get(&p.group) else { return };
+        let Some(id) = self.queries.groups.get(&part.group) else { return };
         let Some(query) = self.queries.by_id.get_mut(id) else { return };
-        self.queries.part_positions.insert(p.id.clone(), (id.clone(), query.pieces.len()));
+        self.queries.part_positions.insert(part.id.clone(), (id.clone(), query.pieces.len()));
         query.planned = false;
         query.pieces.push(Piece {
-            id: p.id,
-            shard: p.shard,
-            weight: if p.weight.is_finite() { p.weight.max(0.0) } else { 0.0 },
-            hint: p.work_hint.filter(|w| w.is_finite() && *w > 0.0),
+            id: part.id,
+            shard: part.shard,
+            weight: if part.weight.is_finite() { part.weight.max(0.0) } else { 0.0 },
+            hint: part.work_hint.filter(|w| w.is_finite() && *w > 0.0),
             row_holder: None,
             tries: Vec::new(),
             served: false,
             reserve: false,
             left: false,
             unreachable: false,
-            housed: !self.fleet.rows.holders(p.shard).is_empty(),
+            housed: !self.fleet.rows.holders(part.shard).is_empty(),
             status: PartStatus::Done,
         });
         query.index_part(&self.set, self.now, query.pieces.len() - 1);
         self.queries.schedule.mark_changed(id);
     }
 
-    /// Notes that no attempt at a part can be sent any more.
+    /// Records that no further attempt at a part can be sent.
     pub(crate) fn mark_unreachable(&mut self, part: &RequestId) {
-        let Some((id, i)) = self.queries.part_positions.get(part) else { return };
-        let (Some(q), i) = (self.queries.by_id.get_mut(id), *i) else { return };
-        if i < q.pieces.len() {
-            q.unindex_part(i);
-            q.pieces[i].unreachable = true;
-            q.index_part(&self.set, self.now, i);
+        let Some((id, position)) = self.queries.part_positions.get(part) else { return };
+        let (Some(query), position) = (self.queries.by_id.get_mut(id), *position) else { return };
+        if position < query.pieces.len() {
+            query.unindex_part(position);
+            query.pieces[position].unreachable = true;
+            query.index_part(&self.set, self.now, position);
             self.queries.schedule.mark_changed(id);
         }
     }
 
-    /// Writes the end of an attempt into its piece.
+    /// Records the outcome of an attempt in its part.
     pub(crate) fn finish_attempt(&mut self, part: &RequestId, attempt: u32, outcome: Outcome) {
-        let Some((id, i)) = self.queries.part_positions.get(part) else { return };
-        let (Some(q), i) = (self.queries.by_id.get_mut(id), *i) else { return };
-        if i >= q.pieces.len() || attempt as usize >= q.pieces[i].tries.len() {
+        let Some((id, position)) = self.queries.part_positions.get(part) else { return };
+        let (Some(query), position) = (self.queries.by_id.get_mut(id), *position) else { return };
+        if position >= query.pieces.len() || attempt as usize >= query.pieces[position].tries.len() {
             return;
         }
-        q.unindex_part(i);
-        let piece = &mut q.pieces[i];
-        let t = &mut piece.tries[attempt as usize];
-        let before = t.outcome.replace(outcome);
-        t.took = self.now - t.sent;
-        piece.served |= outcome == Outcome::Served;
-        let server = t.server;
-        q.index_part(&self.set, self.now, i);
+        query.unindex_part(position);
+        let part_state = &mut query.pieces[position];
+        let record = &mut part_state.tries[attempt as usize];
+        let previous = record.outcome.replace(outcome);
+        record.took = self.now - record.sent;
+        part_state.served |= outcome == Outcome::Served;
+        let server = record.server;
+        query.index_part(&self.set, self.now, position);
         self.visits.set(self.visits.get() + 1);
-        if before.is_some() {
-            // Told twice: sums that only grow may have shrunk.
-            q.rebuild_index(&self.set, self.now);
+        if previous.is_some() {
+            // The end was reported twice: totals that index_part only increases may have to shrink.
+            query.rebuild_index(&self.set, self.now);
         }
         let schedule = &mut self.queries.schedule;
         let silent = usize::from(self.fleet.servers[server].went_silent);
         let is_lost = |outcome: Option<Outcome>| outcome == Some(Outcome::ConnectionLost);
-        match (is_lost(before), is_lost(Some(outcome))) {
+        match (is_lost(previous), is_lost(Some(outcome))) {
             (false, true) => {
                 schedule.lost_by_server.entry(server).or_default().push(id.clone());
-                (q.lost, q.broken) = (q.lost + 1, q.broken + silent);
+                (query.lost, query.broken) = (query.lost + 1, query.broken + silent);
             }
             (true, false) => {
-                let of = schedule.lost_by_server.entry(server).or_default();
-                of.iter().position(|other| other == id).map(|at| of.swap_remove(at));
-                (q.lost, q.broken) = (q.lost - 1, q.broken - silent);
+                let queries = schedule.lost_by_server.entry(server).or_default();
+                queries.iter().position(|other| other == id).map(|at| queries.swap_remove(at));
+                (query.lost, query.broken) = (query.lost - 1, query.broken - silent);
             }
             _ => {}
         }
         schedule.mark_changed(id);
     }
 
-    /// Calls off what is out of the step at hand, where that may be.
-    pub(crate) fn cancel_in_flight(&mut self, q: &Held) {
+    /// Cancels all attempts of the current step that are in flight, if the settings allow it.
+    pub(crate) fn cancel_in_flight(&mut self, query: &Held) {
         if !self.set.cancel {
             return;
         }
-        for p in &q.pieces[q.step_from..] {
-            for (n, _) in p.tries.iter().enumerate().filter(|(_, t)| t.outcome.is_none()) {
-                self.out.push(Action::Cancel { part: p.id.clone(), attempt: n as u32 });
+        for part in &query.pieces[query.step_from..] {
+            for (attempt, _) in part.tries.iter().enumerate().filter(|(_, t)| t.outcome.is_none()) {
+                self.out.push(Action::Cancel { part: part.id.clone(), attempt: attempt as u32 });
             }
         }
     }
 
-    /// Servers get new names all day: those that are gone must not be kept, nor looked through, for ever.
+    /// Removes the records of servers that are gone. Servers get new names all day, so that records which
+    /// were kept for ever would grow without bound, and so would the time for going through them.
     pub(crate) fn evict_gone_servers(&mut self) {
         self.fleet.evict_gone(self.now - self.set.cold.warm_after, || self.queries.referenced_servers());
     }
--- a/crates/brookbend/src/schedule.rs
+++ b/crates/brookbend/src/schedule.rs
@@ -1,8 +1,9 @@
-//! What a turn has to look at: queries by change or by the next moment at which something of theirs may be done, and their
-//! pieces by where they stand.
+//! Selects what a turn visits: queries that changed or whose next possible action is due, and within a query
+//! the parts that need a decision.
 //!
-//! Nothing here decides anything. It leaves out only what the decisions would pass over, and keeps the sums that they
-//! would else add up over all pieces. A moment told too early costs a look; one told too late would change a decision.
+//! This module decides nothing itself. It skips only what the decisions would leave alone, and keeps the
+//! totals that they would otherwise recompute from all parts. A due time that is too early costs an extra
+//! visit; one that is too late would change a decision.
 
 use crate::api::*;
 use crate::choice::{Aggregator, LEAVE_WAIT, REPLY_TICKS, ROUNDING};
@@ -12,66 +13,68 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem::{replace, take};
 
-/// A moment as computed may be off by so much: it is looked at sooner.
-const FUZZ: Ms = 0.01;
+/// Tolerance for rounding errors in computed due times, in milliseconds: visits are made this much earlier.
+const DUE_TIME_TOLERANCE: Ms = 0.01;
 
-/// The queries by when they are to be looked at.
+/// The open queries by the time at which they have to be visited next.
 #[derive(Default)]
 pub(crate) struct Schedule {
     by_due_time: BTreeSet<(OrderedTime, RequestId)>,
-    /// Those that are looked at in the next turn.
+    /// Queries to visit in the next turn.
     changed: BTreeSet<RequestId>,
-    /// By server: the queries with a piece whose connection it lost, one for each such attempt.
+    /// By server: the queries with attempts that lost their connection to it, once for each such attempt.
     pub(crate) lost_by_server: BTreeMap<usize, Vec<RequestId>>,
-    /// All is counted anew in the next turn.
+    /// Whether the next turn rebuilds the index of every query and visits all of them.
     rebuild_all: bool,
 }
 
 impl Schedule {
-    /// Something of a query has changed.
+    /// Marks a query to be visited in the next turn.
     pub(crate) fn mark_changed(&mut self, id: &RequestId) {
         self.changed.insert(id.clone());
     }
 
-    /// Something that all queries rest on has changed.
+    /// Marks all queries to be re-indexed and visited in the next turn, after a change that concerns every
+    /// one of them.
     pub(crate) fn mark_all_changed(&mut self) {
         self.rebuild_all = true;
     }
 
-    /// Takes out those that are due, in their order.
+    /// Removes and returns the queries that are due, in the order of their ids.
     fn take_due(&mut self, now: Ms) -> BTreeSet<RequestId> {
         let mut due = take(&mut self.changed);
-        while self.by_due_time.first().is_some_and(|(at, _)| at.0 <= now) {
+        while self.by_due_time.first().is_some_and(|(due_at, _)| due_at.0 <= now) {
             due.extend(self.by_due_time.pop_first().map(|(_, id)| id));
         }
         due
     }
 
-    /// A query is to be looked at by then.
-    fn set(&mut self, id: &RequestId, q: &mut Held, at: Ms, now: Ms) {
-        let was = replace(&mut q.due_at, at);
-        if was != at || at <= now {
-            self.by_due_time.remove(&(OrderedTime(was), id.clone()));
-            if at > now {
-                self.by_due_time.insert((OrderedTime(at), id.clone()));
+    /// Sets the time by which a query has to be visited next; not after `now` means the next turn.
+    fn set(&mut self, id: &RequestId, query: &mut Held, due_at: Ms, now: Ms) {
+        let previous = replace(&mut query.due_at, due_at);
+        if previous != due_at || due_at <= now {
+            self.by_due_time.remove(&(OrderedTime(previous), id.clone()));
+            if due_at > now {
+                self.by_due_time.insert((OrderedTime(due_at), id.clone()));
             } else {
                 self.changed.insert(id.clone());
             }
         }
     }
 
-    /// A query has ended.
-    pub(crate) fn remove(&mut self, id: &RequestId, q: &Held) {
-        self.by_due_time.remove(&(OrderedTime(q.due_at), id.clone()));
-        if q.lost == 0 {
+    /// Removes a query that has ended.
+    pub(crate) fn remove(&mut self, id: &RequestId, query: &Held) {
+        self.by_due_time.remove(&(OrderedTime(query.due_at), id.clone()));
+        if query.lost == 0 {
             return;
         }
-        for t in q.pieces.iter().flat_map(|p| &p.tries).filter(|t| t.outcome == Some(Outcome::ConnectionLost))
+        for attempt in
+            query.pieces.iter().flat_map(|p| &p.tries).filter(|t| t.outcome == Some(Outcome::ConnectionLost))
         {
-            if let Some(of) = self.lost_by_server.get_mut(&t.server) {
-                of.retain(|other| other != id);
-                if of.is_empty() {
-                    self.lost_by_server.remove(&t.server);
+            if let Some(queries) = self.lost_by_server.get_mut(&attempt.server) {
+                queries.retain(|other| other != id);
+                if queries.is_empty() {
+                    self.lost_by_server.remove(&attempt.server);
                 }
             }
         }
@@ -79,32 +82,33 @@
 }
 
 impl Aggregator {
-    /// Looks at everything in each turn and keeps no sums, as the plain reading of the decisions has it: to compare with.
+    /// Makes every turn visit all queries and parts without the index and the running totals. Tests compare
+    /// this plain evaluation of the decisions with the indexed one.
     #[doc(hidden)]
     pub fn visit_all(&mut self) {
         self.visits_all = true;
     }
 
-    /// How much was looked at so far: queries, pieces, entries of rows.
+    /// Number of visits so far to queries, parts and entries of rows: a measure of the work that turns cost.
     #[doc(hidden)]
     pub fn visits(&self) -> u64 {
         self.visits.get()
     }
 
-    pub(crate) fn count_visits(&self, n: usize) {
-        self.visits.set(self.visits.get() + n as u64);
+    pub(crate) fn count_visits(&self, count: usize) {
+        self.visits.set(self.visits.get() + count as u64);
     }
 
-    /// The queries that this turn looks at.
+    /// Removes from the schedule and returns the queries that this turn visits.
     pub(crate) fn take_due_queries(&mut self) -> BTreeSet<RequestId> {
         let mut due = self.queries.schedule.take_due(self.now);
         if take(&mut self.queries.schedule.rebuild_all) || self.visits_all {
-            for (id, q) in &mut self.queries.by_id {
-                for p in &mut q.pieces {
-                    p.housed = !self.fleet.rows.holders(p.shard).is_empty();
+            for (id, query) in &mut self.queries.by_id {
+                for part in &mut query.pieces {
+                    part.housed = !self.fleet.rows.holders(part.shard).is_empty();
                 }
-                q.rebuild_index(&self.set, self.now);
-                self.visits.set(self.visits.get() + q.pieces.len() as u64);
+                query.rebuild_index(&self.set, self.now);
+                self.visits.set(self.visits.get() + query.pieces.len() as u64);
                 due.insert(id.clone());
             }
         }
@@ -112,184 +116,209 @@
         due
     }
 
-    /// Moves on those of a query's pieces that this moment makes late.
-    pub(crate) fn update_late_parts(&self, q: &mut Held) {
-        let floor = self.late_floor(q);
-        let rose = floor > replace(&mut q.part_index.late_floor, floor);
-        let mut moved: Vec<usize> = Vec::new();
-        if rose {
-            moved.extend(q.part_index.late.iter().chain(&q.part_index.late_exhausted));
+    /// Re-indexes the parts of a query whose status changes with time alone: those whose attempt has exceeded
+    /// its expected time or has become late, and the late ones if the minimum age for being late has risen.
+    pub(crate) fn update_late_parts(&self, query: &mut Held) {
+        let late_floor = self.late_floor(query);
+        let floor_rose = late_floor > replace(&mut query.part_index.late_floor, late_floor);
+        let mut outdated: Vec<usize> = Vec::new();
+        if floor_rose {
+            outdated.extend(query.part_index.late.iter().chain(&query.part_index.late_exhausted));
         }
-        while let Some(Reverse((at, i, tries))) = q.part_index.waiting.peek().copied()
-            && at.0 - FUZZ <= self.now
+        while let Some(Reverse((expected_at, position, attempts))) = query.part_index.waiting.peek().copied()
+            && expected_at.0 - DUE_TIME_TOLERANCE <= self.now
         {
-            q.part_index.waiting.pop();
-            let p = &q.pieces[i];
-            if p.status == PartStatus::Waiting && p.tries.len() == tries {
-                moved.push(i);
+            query.part_index.waiting.pop();
+            let part = &query.pieces[position];
+            if part.status == PartStatus::Waiting && part.tries.len() == attempts {
+                outdated.push(position);
             }
         }
-        while let Some((sent, i)) = q.part_index.beyond_expected.first().copied()
-            && self.now - sent.0 > floor
+        while let Some((sent, position)) = query.part_index.beyond_expected.first().copied()
+            && self.now - sent.0 > late_floor
         {
-            q.part_index.beyond_expected.remove(&(sent, i));
-            moved.push(i);
+            query.part_index.beyond_expected.remove(&(sent, position));
+            outdated.push(position);
         }
-        self.count_visits(moved.len());
-        for i in moved {
-            q.unindex_part(i);
-            q.index_part(&self.set, self.now, i);
+        self.count_visits(outdated.len());
+        for position in outdated {
+            query.unindex_part(position);
+            query.index_part(&self.set, self.now, position);
         }
     }
 
-    /// Sends what the turn calls for: of all pieces, or of those that are due.
-    pub(crate) fn run_parts(&mut self, q: &mut Held, all: bool) {
-        let (mut from, mut blocked) = (q.step_from, false);
+    /// Sends the attempts that are due, after visiting all parts of the current step or only those that need
+    /// a decision.
+    pub(crate) fn run_parts(&mut self, query: &mut Held, all: bool) {
+        let (mut from, mut blocked) = (query.step_from, false);
         loop {
-            let i = if all || self.visits_all {
+            let position = if all || self.visits_all {
                 from
             } else {
-                q.next_part(&self.set, from, blocked).unwrap_or(usize::MAX)
+                query.next_part(&self.set, from, blocked).unwrap_or(usize::MAX)
             };
-            if i >= q.pieces.len() {
+            if position >= query.pieces.len() {
                 return;
             }
             self.count_visits(1);
-            q.unindex_part(i);
-            blocked |= !self.run_piece(q, i);
-            q.index_part(&self.set, self.now, i);
-            from = i + 1;
+            query.unindex_part(position);
+            blocked |= !self.run_piece(query, position);
+            query.index_part(&self.set, self.now, position);
+            from = position + 1;
         }
     }
 
-    /// When a query that was looked at now is to be looked at again.
-    pub(crate) fn schedule_next_visit(&mut self, id: &RequestId, q: &mut Held) {
-        let class = &self.set.classes[q.class];
-        let a = &q.part_index;
-        let idle = a.unsent.is_empty() && a.failed.is_empty() && a.late.is_empty();
-        let reserve = !a.reserve.is_empty() && (a.any_failed_or_late() || q.may_omit_parts(&self.set));
-        // Where a second step is ahead, what was learned of such moves the moments.
-        let ahead = class.second_step && q.first_whole.is_none();
-        let mut at = f64::NEG_INFINITY;
-        // What this turn did to the pieces, or a first answer, may call for a reply in the next.
-        if idle && !reserve && !ahead && q.planned && !self.reply_may_be_due(q) {
+    /// Schedules the next visit to a query that this turn has visited.
+    pub(crate) fn schedule_next_visit(&mut self, id: &RequestId, query: &mut Held) {
+        let class = &self.set.classes[query.class];
+        let index = &query.part_index;
+        let idle = index.unsent.is_empty() && index.failed.is_empty() && index.late.is_empty();
+        let reserve_due =
+            !index.reserve.is_empty() && (index.any_failed_or_late() || query.may_omit_parts(&self.set));
+        // The due times of a query with a second step to come depend on the learned duration of that step,
+        // which may change at any time: such a query is visited in every turn.
+        let second_step_ahead = class.second_step && query.first_whole.is_none();
+        let mut due_at = f64::NEG_INFINITY;
+        // Attempts that this turn sent or cancelled, or a first answer, may make a reply due in the next
+        // turn.
+        if idle && !reserve_due && !second_step_ahead && query.planned && !self.reply_may_be_due(query) {
             let slack = REPLY_TICKS * self.set.tick;
-            // The moments of [`Aggregator::reply`]: an answer's useful end is one of the first two.
-            let ends = [q.give_up_at - slack, q.asked + class.aim - slack, q.asked + LEAVE_WAIT * class.aim];
-            let end = ends.into_iter().filter(|at| at + FUZZ > self.now).fold(f64::INFINITY, f64::min);
-            let out = a.waiting.peek().map_or(f64::INFINITY, |Reverse((at, ..))| at.0);
-            let late = a.beyond_expected.first().map_or(f64::INFINITY, |(sent, _)| sent.0 + a.late_floor);
-            at = end.min(out).min(late) - FUZZ;
+            // The times at which [`Aggregator::reply`] may decide otherwise. The time until which an answer
+            // is useful is one of the first two.
+            let reply_times = [
+                query.give_up_at - slack,
+                query.asked + class.aim - slack,
+                query.asked + LEAVE_WAIT * class.aim,
+            ];
+            let reply_at = reply_times
+                .into_iter()
+                .filter(|at| at + DUE_TIME_TOLERANCE > self.now)
+                .fold(f64::INFINITY, f64::min);
+            let expected_at = index.waiting.peek().map_or(f64::INFINITY, |Reverse((at, ..))| at.0);
+            let late_at =
+                index.beyond_expected.first().map_or(f64::INFINITY, |(sent, _)| sent.0 + index.late_floor);
+            due_at = reply_at.min(expected_at).min(late_at) - DUE_TIME_TOLERANCE;
         }
-        self.queries.schedule.set(id, q, at, self.now);
+        self.queries.schedule.set(id, query, due_at, self.now);
     }
 
-    /// Whether a reply may be due: then all pieces are gone through.
-    pub(crate) fn may_reply(&self, q: &Held) -> bool {
-        let may = self.visits_all || !q.planned || self.reply_may_be_due(q);
-        self.count_visits(if may { q.pieces.len() } else { 0 });
-        may
+    /// Whether a reply may be due. The caller then evaluates all parts.
+    pub(crate) fn may_reply(&self, query: &Held) -> bool {
+        let may_reply = self.visits_all || !query.planned || self.reply_may_be_due(query);
+        self.count_visits(if may_reply { query.pieces.len() } else { 0 });
+        may_reply
     }
 
-    /// False only where no reply is due, however the sums were rounded.
-    fn reply_may_be_due(&self, q: &Held) -> bool {
-        let (class, t) = (&self.set.classes[q.class], &q.totals);
-        let (drift, pieces) = (t.max_rounding_error(), q.pieces.len() - q.step_from);
+    /// Evaluates the conditions of [`Aggregator::reply`] from the running totals. False only if no reply is
+    /// due, whatever the rounding errors of the totals are.
+    fn reply_may_be_due(&self, query: &Held) -> bool {
+        let (class, totals) = (&self.set.classes[query.class], &query.totals);
+        let (error, parts) = (totals.max_rounding_error(), query.pieces.len() - query.step_from);
         let slack = REPLY_TICKS * self.set.tick;
-        let second_at = self.now + self.second(q) + slack;
-        let second = q.first_whole.is_some();
-        // Whether a sum is surely under, or over, a limit; a sum that is no number is neither.
-        let under = |sum: f64, limit: f64| sum + ROUNDING + drift < limit;
-        let over = |sum: f64, limit: f64| sum + ROUNDING > limit + drift;
-        let in_all = second && t.step_served == pieces;
-        if pieces > 0 && (in_all || !second && !under(t.served_weight, class.need)) {
+        let second_at = self.now + self.second(query) + slack;
+        let second = query.first_whole.is_some();
+        // Whether a sum is certainly below, or above, a limit. Both are false for a sum that is not a number.
+        let below = |sum: f64, limit: f64| sum + ROUNDING + error < limit;
+        let above = |sum: f64, limit: f64| sum + ROUNDING > limit + error;
+        let all_served = second && totals.step_served == parts;
+        if parts > 0 && (all_served || !second && !below(totals.served_weight, class.need)) {
             return true;
         }
-        let spoiled = self.spoiled(q);
-        let possible = t.possible_weight(spoiled, true);
-        if t.step_served > 0 && !under(t.served_weight, class.floor) {
-            let earns = if q.first_whole == Some(false) { 1.0 } else { class.partial_earns };
+        let suspect = self.spoiled(query);
+        let possible = totals.possible_weight(suspect, true);
+        if totals.step_served > 0 && !below(totals.served_weight, class.floor) {
+            let earns = if query.first_whole == Some(false) { 1.0 } else { class.partial_earns };
             let share = earns / class.need.max(ROUNDING);
-            let aim_over = second_at >= q.asked + class.aim;
-            let can_be_whole = over(possible, if second { 1.0 } else { class.need });
-            let waits = self.now < q.asked + LEAVE_WAIT * class.aim;
-            let more = t.possible_weight(spoiled, waits) > t.served_weight + ROUNDING + drift;
-            if second_at >= q.give_up_at
-                || aim_over && !(can_be_whole && (t.served_weight + drift) * share + drift < class.late_worth)
-                || !more
+            let aim_over = second_at >= query.asked + class.aim;
+            let can_be_whole = above(possible, if second { 1.0 } else { class.need });
+            let waits = self.now < query.asked + LEAVE_WAIT * class.aim;
+            let more_may_come =
+                totals.possible_weight(suspect, waits) > totals.served_weight + ROUNDING + error;
+            if second_at >= query.give_up_at
+                || aim_over
+                    && !(can_be_whole && (totals.served_weight + error) * share + error < class.late_worth)
+                || !more_may_come
             {
                 return true;
             }
         }
-        let have = t.served_weight > drift;
-        self.now >= q.give_up_at - slack
-            || !(second && pieces == 0 || over(possible, class.floor.min(class.need)))
-            || spoiled && !have
-            || self.now >= self.useful_end(q)
+        let any_served = totals.served_weight > error;
+        self.now >= query.give_up_at - slack
+            || !(second && parts == 0 || above(possible, class.floor.min(class.need)))
+            || suspect && !any_served
+            || self.now >= self.useful_end(query)
     }
 
-    /// The weight of what a query would do without, were this piece left out too; from its sums where these tell for sure
-    /// that it is, or is not, within a limit. The piece itself is lifted.
-    pub(crate) fn missing_weight_if_omitted(&self, q: &Held, i: usize, limit: f64) -> f64 {
-        let sum = q.totals.missing_weight + q.pieces[i].weight;
-        if !self.visits_all && (sum - limit).abs() > q.totals.max_rounding_error() {
+    /// Weight that a query's answer would lack if this part were omitted too. The part is not in the index at
+    /// that time. The running total is returned only if it is certainly within `limit` or above it; otherwise
+    /// the exact sum.
+    pub(crate) fn missing_weight_if_omitted(&self, query: &Held, position: usize, limit: f64) -> f64 {
+        let sum = query.totals.missing_weight + query.pieces[position].weight;
+        if !self.visits_all && (sum - limit).abs() > query.totals.max_rounding_error() {
             return sum;
         }
-        self.count_visits(q.pieces.len());
-        let parts = q.pieces.iter().enumerate().filter(|(j, p)| *j == i || is_missing(p, q.max_attempts));
+        self.count_visits(query.pieces.len());
+        let parts = query
+            .pieces
+            .iter()
+            .enumerate()
+            .filter(|(other, p)| *other == position || is_missing(p, query.max_attempts));
         parts.map(|(_, p)| p.weight).sum()
     }
 
-    /// Whether a piece was asked for, and its latest attempt has failed or is late.
-    pub(crate) fn any_failed_or_late(&self, q: &Held) -> bool {
+    /// Whether the latest attempt of any part that was sent has failed or is late.
+    pub(crate) fn any_failed_or_late(&self, query: &Held) -> bool {
         if !self.visits_all {
-            return q.part_index.any_failed_or_late();
+            return query.part_index.any_failed_or_late();
         }
-        self.count_visits(q.pieces.len());
-        q.pieces.iter().any(|p| self.troubled(q, p))
+        self.count_visits(query.pieces.len());
+        query.pieces.iter().any(|p| self.troubled(query, p))
     }
 
-    /// The longest attempt at a piece that is served.
-    pub(crate) fn max_served_time(&self, q: &Held) -> Ms {
+    /// The longest time that an attempt at a served part took.
+    pub(crate) fn max_served_time(&self, query: &Held) -> Ms {
         if !self.visits_all {
-            return q.totals.max_attempt_time;
+            return query.totals.max_attempt_time;
         }
-        self.count_visits(q.pieces.len());
-        let tries = q.pieces.iter().filter(|p| p.served).flat_map(|p| &p.tries);
-        tries.map(|t| t.took).fold(0.0, f64::max)
+        self.count_visits(query.pieces.len());
+        let attempts = query.pieces.iter().filter(|p| p.served).flat_map(|p| &p.tries);
+        attempts.map(|t| t.took).fold(0.0, f64::max)
     }
 
-    /// How many attempts lost a connection to a server that is silent since, and how many pieces are served.
-    pub(crate) fn lost_and_served_counts(&self, q: &Held) -> (usize, usize) {
+    /// Number of attempts that lost the connection to a server that has been silent since, and number of
+    /// served parts.
+    pub(crate) fn lost_and_served_counts(&self, query: &Held) -> (usize, usize) {
         if !self.visits_all {
-            return (q.broken, q.totals.served);
+            return (query.broken, query.totals.served);
         }
-        self.count_visits(q.pieces.len());
-        let lost = |t: &&Try| t.outcome == Some(Outcome::ConnectionLost);
-        let tries = q.pieces.iter().flat_map(|p| &p.tries).filter(lost);
-        let broken = tries.filter(|t| self.fleet.servers[t.server].went_silent).count();
-        (broken, q.pieces.iter().filter(|p| p.served).count())
+        self.count_visits(query.pieces.len());
+        let connection_lost = |t: &&Try| t.outcome == Some(Outcome::ConnectionLost);
+        let attempts = query.pieces.iter().flat_map(|p| &p.tries).filter(connection_lost);
+        let lost = attempts.filter(|t| self.fleet.servers[t.server].went_silent).count();
+        (lost, query.pieces.iter().filter(|p| p.served).count())
     }
 
-    /// Makes the rows anew: of these cells, or all.
-    pub(crate) fn rebuild_rows(&mut self, concerned: Option<BTreeSet<usize>>) {
+    /// Rebuilds the rows that contain one of these cells, or all rows. Every query is re-indexed if a shard
+    /// has lost its last holder or got its first.
+    pub(crate) fn rebuild_rows(&mut self, changed_cells: Option<BTreeSet<usize>>) {
         let (cells, reach) = (self.set.cells, self.set.reach);
-        let (turned, written) = match concerned {
-            Some(concerned) => self.fleet.update_rows(&concerned),
+        let (availability_changed, entries) = match changed_cells {
+            Some(changed_cells) => self.fleet.update_rows(&changed_cells),
             None => (self.fleet.rebuild_rows(cells, reach), self.fleet.by_name.len()),
         };
-        self.count_visits(written);
-        if turned {
+        self.count_visits(entries);
+        if availability_changed {
             self.queries.schedule.mark_all_changed();
         }
     }
 
-    /// A server has fallen silent, or was heard again: its lost connections tell otherwise of queries now.
+    /// Updates the queries with connections lost to a server that has just fallen silent or has answered
+    /// again: such losses count against a query only while the server is silent.
     pub(crate) fn silence_changed(&mut self, server: usize) {
         let silent = self.fleet.servers[server].went_silent;
         for id in self.queries.schedule.lost_by_server.get(&server).into_iter().flatten() {
-            if let Some(q) = self.queries.by_id.get_mut(id) {
-                q.broken = if silent { q.broken + 1 } else { q.broken - 1 };
+            if let Some(query) = self.queries.by_id.get_mut(id) {
+                query.broken = if silent { query.broken + 1 } else { query.broken - 1 };
                 self.queries.schedule.changed.insert(id.clone());
                 self.visits.set(self.visits.get() + 1);
             }
