--- a/crates/brookbend/src/consistency.rs
+++ b/crates/brookbend/src/consistency.rs
@@ -1,48 +1,58 @@
-//! Whether what is kept of the queries in hand is what counting anew would give: for tests.
+//! Consistency check of the incrementally updated index and totals against a full recomputation, for tests.
 
 use crate::choice::Aggregator;
 use crate::part_index::{PartStatus, PartTotals};
 use std::mem::take;
 
 impl Aggregator {
-    /// What is kept otherwise than it should be, if anything is.
+    /// Describes an entry of the index or the totals of an open query that differs from a full recomputation;
+    /// `None` if all agree. Leaves every index recomputed.
     #[doc(hidden)]
     pub fn find_inconsistency(&mut self) -> Option<String> {
         let mut queries = take(&mut self.queries.by_id);
-        let mut wrong = None;
-        for (id, q) in &mut queries {
-            self.update_late_parts(q);
-            let stands: Vec<PartStatus> = q.pieces.iter().map(|p| p.status).collect();
-            let kept = take(&mut q.totals);
-            let broken = std::mem::replace(&mut self.visits_all, true);
-            let scanned = self.lost_and_served_counts(q);
-            self.visits_all = broken;
-            q.rebuild_index(&self.set, self.now);
-            for (i, (kept, p)) in stands.iter().zip(&q.pieces).enumerate() {
-                // What may not be repeated since some moment is found out when it is looked at.
-                let lapsed = matches!(
-                    (kept, p.status),
+        let mut difference = None;
+        for (id, query) in &mut queries {
+            self.update_late_parts(query);
+            let statuses: Vec<PartStatus> = query.pieces.iter().map(|p| p.status).collect();
+            let totals = take(&mut query.totals);
+            let visits_all = std::mem::replace(&mut self.visits_all, true);
+            let counts = self.lost_and_served_counts(query);
+            self.visits_all = visits_all;
+            query.rebuild_index(&self.set, self.now);
+            for (position, (indexed, part)) in statuses.iter().zip(&query.pieces).enumerate() {
+                // A part that may no longer be repeated because its window has ended is re-indexed only when
+                // it is visited.
+                let window_ended = matches!(
+                    (indexed, part.status),
                     (PartStatus::Late, PartStatus::LateExhausted)
                         | (PartStatus::Failed, PartStatus::Exhausted)
                 );
-                if *kept != p.status && !lapsed {
-                    wrong = Some(format!("{id}, piece {i}: kept {kept:?}, is {:?}", p.status));
+                if *indexed != part.status && !window_ended {
+                    difference = Some(format!(
+                        "{id}, part {position}: indexed as {indexed:?}, recomputed as {:?}",
+                        part.status
+                    ));
                 }
             }
-            if !same(&kept, &q.totals) || (q.broken, q.totals.served) != scanned {
-                wrong = Some(format!("{id}: kept {kept:?}, is {:?}, {scanned:?}", q.totals));
+            if !same(&totals, &query.totals) || (query.broken, query.totals.served) != counts {
+                difference = Some(format!(
+                    "{id}: running totals {totals:?}, recomputed {:?}, lost and served {counts:?}",
+                    query.totals
+                ));
             }
         }
         self.queries.by_id = queries;
-        wrong
+        difference
     }
 }
 
-fn same(kept: &PartTotals, is: &PartTotals) -> bool {
+/// Whether running totals equal recomputed ones, within the rounding error that is allowed.
+fn same(running: &PartTotals, recomputed: &PartTotals) -> bool {
     let sums = |t: &PartTotals| {
         [t.served_weight, t.missing_weight, t.possible_weight(false, true), t.possible_weight(true, false)]
     };
-    let near = |(a, b): (f64, f64)| (a - b).abs() <= is.max_rounding_error();
-    (kept.served, kept.step_served, kept.max_attempt_time) == (is.served, is.step_served, is.max_attempt_time)
-        && sums(kept).into_iter().zip(sums(is)).all(near)
+    let near = |(a, b): (f64, f64)| (a - b).abs() <= recomputed.max_rounding_error();
+    (running.served, running.step_served, running.max_attempt_time)
+        == (recomputed.served, recomputed.step_served, recomputed.max_attempt_time)
+        && sums(running).into_iter().zip(sums(recomputed)).all(near)
 }
--- a/crates/brookbend/src/retry_advice.rs
+++ b/crates/brookbend/src/retry_advice.rs
@@ -1,10 +1,11 @@
-//! What becomes of a query that its aggregator has no room for.
+//! Retry advice for queries that are refused for lack of capacity, before the decisions see them.
 
 use crate::api::{Ms, Settings};
 use crate::choice::RETURN_AIM;
 
-/// Advice to its client, which is refused before the decisions see the query: as to one refused on arrival.
-pub fn retry_after_when_full(set: &Settings, class: usize) -> Option<Ms> {
-    let aim = set.classes.get(class).map_or(f64::INFINITY, |c| c.aim);
-    set.max_retry_after.map(|most| most.min(RETURN_AIM * aim))
+/// Time after which the client of such a query should retry: the same as for a query that is refused on
+/// arrival. `None` if clients do not heed retry advice.
+pub fn retry_after_when_full(settings: &Settings, class: usize) -> Option<Ms> {
+    let aim = settings.classes.get(class).map_or(f64::INFINITY, |c| c.aim);
+    settings.max_retry_after.map(|max| max.min(RETURN_AIM * aim))
 }
