--- a/crates/brookbend/src/estimates/load.rs
+++ b/crates/brookbend/src/estimates/load.rs
@@ -1,62 +1,67 @@
-//! What others have out at one server, as its own reports show it.
+//! Work that other aggregators have outstanding at a server, estimated from the load reports in its answers.
 
 use crate::api::Ms;
 use crate::choice::{Aggregator, NEWS, OVERDUE};
 use crate::state::{Flight, Server};
 
-/// Reported work drains by this share of the server's pace: about half of what leaves is made up by new work.
-const DRAIN: f64 = 0.5;
-/// A server is taken for no faster than this where its report drains.
-const LEAST_PACE: f64 = 0.2;
+/// Rate at which reported work drains, as a share of the server's pace: new work of others replaces about
+/// half of the work that is finished.
+const DRAIN_RATE: f64 = 0.5;
+/// Lower bound on the pace that reported work drains by, so that a server which looks very fast does not
+/// drain at once.
+const MIN_PACE: f64 = 0.2;
 
-/// Work of others at a server. Reports are late and may be untrue: what they tell drains with time.
+/// Estimated work of others at one server. Reports are late and may be wrong, so the estimate drains with
+/// time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OthersLoad {
     work: Ms,
     since: Ms,
-    /// What the newest report said that the server holds.
-    held: f64,
+    /// Number of requests that the server held according to its latest report; NaN before the first one.
+    reported_requests: f64,
 }
 
 impl OthersLoad {
-    /// Before any report.
+    /// The estimate before any report: no work of others.
     pub(crate) fn unknown() -> Self {
-        OthersLoad { work: 0.0, since: f64::NEG_INFINITY, held: f64::NAN }
+        OthersLoad { work: 0.0, since: f64::NEG_INFINITY, reported_requests: f64::NAN }
     }
 
-    /// A report says that the server holds so many requests. Servers put one report into many answers: a repeat is as old as
-    /// its first, and drains on. False: it is one.
-    pub(crate) fn is_new(&mut self, held: f64) -> bool {
-        std::mem::replace(&mut self.held, held) != held
+    /// Records the number of requests that a report says the server holds. Returns false if the report before
+    /// said the same: servers put one report into many answers, and a repeated one is as old as the first, so
+    /// that its work goes on draining.
+    pub(crate) fn is_new(&mut self, reported_requests: f64) -> bool {
+        std::mem::replace(&mut self.reported_requests, reported_requests) != reported_requests
     }
 
-    /// So much work of others is there now.
+    /// Sets the work of others at the server as of `now`.
     pub(crate) fn set(&mut self, work: Ms, now: Ms) {
         (self.work, self.since) = (work, now);
     }
 
-    /// What is left of it, at a server of this pace.
+    /// The part of that work that is left, at a server of this pace.
     pub(crate) fn remaining(&self, now: Ms, pace: f64) -> Ms {
-        let drained = DRAIN * (now - self.since) / pace.max(LEAST_PACE);
+        let drained = DRAIN_RATE * (now - self.since) / pace.max(MIN_PACE);
         (self.work - drained).max(0.0)
     }
 }
 
 impl Aggregator {
-    /// A server's report of what it holds shows what others have out there. It is late and may be untrue: it
-    /// fills a few aims at most, drains with time, and no rule rests on it.
-    pub(crate) fn record_reported_load(&mut self, f: &Flight, load: Option<f64>) {
-        let Some(held) = load else { return };
-        let most = OVERDUE * self.shortest_aim / self.fleet_pace.max(NEWS);
-        let s = &mut self.fleet.servers[f.server];
-        if s.others.is_new(held) {
-            let others = (held - s.flying.len() as f64).max(0.0);
-            s.others.set((others * self.learned[f.class].work.unit()).min(most), self.now);
+    /// Derives the work of others at a server from the number of requests in a load report. The report is
+    /// late and may be wrong: the derived work is limited to what takes a few aims, drains with time, and is
+    /// no basis for any rule.
+    pub(crate) fn record_reported_load(&mut self, attempt: &Flight, load: Option<f64>) {
+        let Some(reported_requests) = load else { return };
+        let max_work = OVERDUE * self.shortest_aim / self.fleet_pace.max(NEWS);
+        let server = &mut self.fleet.servers[attempt.server];
+        if server.others.is_new(reported_requests) {
+            let others = (reported_requests - server.flying.len() as f64).max(0.0);
+            server.others.set((others * self.learned[attempt.class].work.unit()).min(max_work), self.now);
         }
     }
 
-    /// Work of others at a server, as reported.
-    pub(crate) fn others_work(&self, s: &Server) -> Ms {
-        s.others.remaining(self.now, s.pace.measured())
+    /// Remaining work of others at a server, according to its reports.
+    pub(crate) fn others_work(&self, server: &Server) -> Ms {
+        server.others.remaining(self.now, server.pace.measured())
     }
 }
--- a/crates/brookbend/src/estimates/work.rs
+++ b/crates/brookbend/src/estimates/work.rs
@@ -1,130 +1,146 @@
-//! The work of a part of one class, from how long answers took.
+//! Work of a part of one class, estimated from the times of answers.
 
 use crate::api::Ms;
 
-/// Quantile of answer times taken as the work of one part where there are no hints, and its step.
+/// Quantile of answer times that is taken as the work of one part where there are no hints, and the relative
+/// step by which the estimate approaches it.
 const QUANTILE: f64 = 0.2;
 const STEP: f64 = 0.05;
 /// Work of a part before any answer, in multiples of a call's fixed work.
-const FIRST: f64 = 2.0;
-/// So many first answers are not stepped by: the shortest of them is the work, as near its quantile as so few tell.
-const FEW: u32 = 8;
-/// Before any answer a cold server is taken to need this share of the aim for a part: a call may cost far less than the
-/// part it carries, and where all aggregators start at once all would take the one for the other.
-const UNKNOWN_AIM: f64 = 0.05;
-/// So far off may what forecasts go by be, and still count at a cold server.
-const FAR: f64 = 2.0;
+const INITIAL_CALL_MULTIPLE: f64 = 2.0;
+/// Number of first answers of which the shortest is taken as the work of a part: with fewer answers that is
+/// as close to the quantile as can be estimate.
+const FIRST_ANSWERS: u32 = 8;
+/// Share of the aim that a part is assumed to cost at a cold server before any answer. A call may cost far
+/// less than the part it carries, and if all aggregators start at once, all of them would mistake the one for
+/// the other.
+const ASSUMED_COLD_AIM_SHARE: f64 = 0.05;
+/// Factor by which the unit behind forecasts may be too low and still be used at a cold server.
+const MAX_COLD_UNDERESTIMATE: f64 = 2.0;
 
-/// The unit is known once so many answers were quicker than it, of which each slower one takes QUICKER_LOST back: an estimate
-/// that is far too low meets hardly any, one at its quantile meets one in five.
-const QUICKER: f64 = 8.0;
-const QUICKER_LOST: f64 = 0.1;
+/// The unit is known once this many answers were faster than it, where each slower answer takes back
+/// [`SLOWER_DISCOUNT`]. An estimate that is far too low has hardly any faster answers; one at its quantile
+/// has one in five.
+const FASTER_ANSWERS_TO_KNOW: f64 = 8.0;
+const SLOWER_DISCOUNT: f64 = 0.1;
 
-/// What is known of it.
+/// Estimate of the work of one class's parts, in milliseconds.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct WorkEstimate {
-    /// What forecasts go by: it steps from what a call costs, and takes hundreds of answers to come to what a part does.
+    /// The unit of work that forecasts use. It starts from the work of a call and takes hundreds of answers
+    /// to reach that of a part.
     unit: Ms,
-    /// What a part took beside its call: the first answers tell it.
-    alone: Ms,
-    /// Work of a call.
+    /// Work of a part without its call. The first few answers determine it.
+    part_alone: Ms,
+    /// Fixed work of a call.
     call: Ms,
-    /// Answers, as far as they are few.
+    /// Number of answers, up to [`FIRST_ANSWERS`].
     answers: u32,
-    /// Whether the unit has come near what answers take. Until then it is a guess on its way there.
+    /// Whether the unit has come close to the time of answers. Until then it is provisional.
     known: bool,
-    /// How far it is known: from QUICKER on.
-    quicker: f64,
-    /// By how much the guess has moved since that was last taken note of, and in all.
-    moved: f64,
+    /// Count of answers faster than the unit; the unit is known from [`FASTER_ANSWERS_TO_KNOW`] on.
+    faster_answers: f64,
+    /// Factor by which a provisional unit has changed since the last [`WorkEstimate::take_change`].
+    pending_ratio: f64,
+    /// Product of the factors that were taken.
     scale: f64,
 }
 
-/// A guess of a unit of work has moved.
+/// A change of a provisional unit of work.
 pub(crate) struct UnitChange {
-    /// It is so many times what it was.
+    /// Factor from the old unit to the new one.
     pub(crate) ratio: f64,
-    /// It is no guess any more.
+    /// Whether the unit is known from now on.
     pub(crate) settled: bool,
 }
 
 impl WorkEstimate {
-    /// Before any answer.
+    /// The estimate before any answer, from the fixed work of a call.
     pub(crate) fn new(call: Ms) -> Self {
-        WorkEstimate { unit: call.max(1.0) * FIRST, call, moved: 1.0, scale: 1.0, ..WorkEstimate::default() }
+        WorkEstimate {
+            unit: call.max(1.0) * INITIAL_CALL_MULTIPLE,
+            call,
+            pending_ratio: 1.0,
+            scale: 1.0,
+            ..WorkEstimate::default()
+        }
     }
 
-    /// As another learned it, of whom nobody knows from how many answers: it counts as a guess.
+    /// The estimate with a unit that another process learned. From how many answers is unknown, so that it is
+    /// provisional.
     pub(crate) fn restored(unit: Ms, call: Ms) -> Self {
         WorkEstimate { unit, ..WorkEstimate::new(call) }
     }
 
+    /// Work of one part as forecasts take it, in milliseconds.
     pub(crate) fn unit(&self) -> Ms {
         self.unit
     }
 
-    /// Whether the unit has come near what answers take.
+    /// Whether the unit has come close to the time of answers.
     pub(crate) fn is_known(&self) -> bool {
         self.known
     }
 
-    /// What the unit has been multiplied by while it was a guess, as far as that was taken note of: work that was sent at
-    /// another scale stands for as much more now as this has grown.
+    /// Factor by which the unit has changed while it was provisional, up to the last
+    /// [`WorkEstimate::take_change`]. Work that was sent at another scale has to be multiplied by the growth
+    /// of the scale since then.
     pub(crate) fn scale(&self) -> f64 {
         self.scale
     }
 
-    /// By how much a guess has moved since this was last asked, if it has.
+    /// Returns the change of a provisional unit since the last call; `None` if there was none.
     pub(crate) fn take_change(&mut self) -> Option<UnitChange> {
-        if self.moved == 1.0 {
+        if self.pending_ratio == 1.0 {
             return None;
         }
-        self.known = self.quicker >= QUICKER;
-        let ratio = std::mem::replace(&mut self.moved, 1.0);
+        self.known = self.faster_answers >= FASTER_ANSWERS_TO_KNOW;
+        let ratio = std::mem::replace(&mut self.pending_ratio, 1.0);
         self.scale *= ratio;
         Some(UnitChange { ratio, settled: self.known })
     }
 
-    /// An answer took so long.
+    /// Takes in the time of an answer.
     pub(crate) fn observe(&mut self, elapsed: Ms) {
-        let step = toward(self.unit, elapsed);
+        let step = step_towards(self.unit, elapsed);
         if !self.known {
-            self.moved *= step;
-            let quicker = if elapsed < self.unit { 1.0 } else { -QUICKER_LOST };
-            self.quicker = (self.quicker + quicker).max(0.0);
+            self.pending_ratio *= step;
+            let count = if elapsed < self.unit { 1.0 } else { -SLOWER_DISCOUNT };
+            self.faster_answers = (self.faster_answers + count).max(0.0);
         }
         self.unit *= step;
-        // The call is half of it at the most: what is known of its work is a usual one's.
-        let took = (elapsed - self.call.min(elapsed / 2.0)).max(1.0);
+        // At most half of the time is attributed to the call, whose configured work is only a typical value.
+        let part_time = (elapsed - self.call.min(elapsed / 2.0)).max(1.0);
         match self.answers {
-            FEW.. => self.alone *= toward(self.alone, took),
-            0 => self.alone = took,
-            _ => self.alone = self.alone.min(took),
+            FIRST_ANSWERS.. => self.part_alone *= step_towards(self.part_alone, part_time),
+            0 => self.part_alone = part_time,
+            _ => self.part_alone = self.part_alone.min(part_time),
         }
-        self.answers = FEW.min(self.answers + 1);
+        self.answers = FIRST_ANSWERS.min(self.answers + 1);
     }
 
-    /// Nothing is heard any more, as when all is refused after a bad spell: what was learned in that fades by this share,
-    /// towards what is taken before any answer, or it would be believed for ever. What is less than that stays. What has
-    /// faded is a guess again.
+    /// Moves a unit above its initial value by the given share back towards it, while there are no answers,
+    /// as when all queries are refused after a slow period. Otherwise what was learned in that period would
+    /// be believed for ever. A unit that has decayed is provisional again; one below the initial value stays.
     pub(crate) fn decay(&mut self, share: f64) {
-        let first = WorkEstimate::new(self.call).unit;
-        let faded = share * (self.unit - first).max(0.0);
-        if faded > 0.0 {
-            self.unit -= faded;
-            (self.known, self.quicker) = (false, 0.0);
+        let initial = WorkEstimate::new(self.call).unit;
+        let decayed = share * (self.unit - initial).max(0.0);
+        if decayed > 0.0 {
+            self.unit -= decayed;
+            (self.known, self.faster_answers) = (false, 0.0);
         }
     }
 
-    /// What a part of this work counts for at a server that has just started. What forecasts go by is left where it is not
-    /// off by more than FAR times: the allowance has room for that, and is used so.
+    /// Work that a part counts for at a server that has just started. The forecast's `work` is used unless it
+    /// is too low by more than the factor [`MAX_COLD_UNDERESTIMATE`]: the allowance of a cold server has a
+    /// margin for that.
     pub(crate) fn cold_work(&self, work: Ms, aim: Ms) -> Ms {
-        let told = if self.answers == 0 { UNKNOWN_AIM * aim } else { self.alone };
-        if told > FAR * work { told } else { work }
+        let estimate = if self.answers == 0 { ASSUMED_COLD_AIM_SHARE * aim } else { self.part_alone };
+        if estimate > MAX_COLD_UNDERESTIMATE * work { estimate } else { work }
     }
 }
 
-/// One step of an estimate towards the quantile of what is seen.
-fn toward(estimate: Ms, seen: Ms) -> f64 {
-    1.0 + STEP * if seen > estimate { QUANTILE } else { QUANTILE - 1.0 }
+/// Factor of one step of an estimate towards the quantile of the observed values.
+fn step_towards(estimate: Ms, observed: Ms) -> f64 {
+    1.0 + STEP * if observed > estimate { QUANTILE } else { QUANTILE - 1.0 }
 }
