--- a/crates/brookbend/src/bin/brookbend-adapter.rs
+++ b/crates/brookbend/src/bin/brookbend-adapter.rs
@@ -1,4 +1,5 @@
-//! Carries the bench's wire (one JSON value a line) to the module's interface and back. It decides nothing.
+//! Translates between the bench's wire protocol, one JSON value per line, and the interface of the decision
+//! module. It decides nothing itself.
 #![forbid(unsafe_code)]
 
 use brookbend::Aggregator;
@@ -9,31 +10,34 @@
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-fn request(m: &Message) -> Result<RequestId, String> {
+/// Reads the id of a query or part.
+fn request_id(m: &Message) -> Result<RequestId, String> {
     Ok(RequestId::named(m.text("OpId")?))
 }
 
+/// Reads the entries of a list of servers.
 fn members(m: &Message) -> Result<Vec<Member>, String> {
     let mut members = Vec::new();
-    for e in m.objects("MembersList")? {
-        let state = match e.text("Mode")? {
+    for entry in m.objects("MembersList")? {
+        let state = match entry.text("Mode")? {
             "in_service" => NodeState::Serving,
             "terminating" => NodeState::Draining,
             "terminated" => NodeState::Gone,
-            _ => return e.bad("Mode", "is unknown"),
+            _ => return entry.bad("Mode", "is unknown"),
         };
         members.push(Member {
-            node: NodeId(e.text("Node")?.into()),
-            cell: e.opt_whole("Position")?.unwrap_or(0) as usize,
+            node: NodeId(entry.text("Node")?.into()),
+            cell: entry.opt_whole("Position")?.unwrap_or(0) as usize,
             state,
-            zone: e.opt_whole("Dc")?.map(|z| z as usize),
-            started: e.opt_number("StartTime")?.filter(|t| *t > 0.0),
+            zone: entry.opt_whole("Dc")?.map(|z| z as usize),
+            started: entry.opt_number("StartTime")?.filter(|t| *t > 0.0),
         });
     }
     Ok(members)
 }
 
-fn order(m: &Message, classes: usize) -> Result<Event, String> {
+/// Reads the arrival of a query or, if it names a shard (`Slice` from 0 on), of a part.
+fn arrival(m: &Message, classes: usize) -> Result<Event, String> {
     let class = m.whole("Service")? as usize;
     if class >= classes {
         return m.bad("Service", "names no class");
@@ -42,7 +46,7 @@
     let group = m.whole("GroupNo")?;
     if shard < 0.0 {
         return Ok(Event::Query(Query {
-            id: request(m)?,
+            id: request_id(m)?,
             group,
             class: ClassIndex(class),
             tenant: TenantIndex(m.opt_whole("Team")?.unwrap_or(0) as usize),
@@ -53,7 +57,7 @@
         }));
     }
     Ok(Event::Part(Part {
-        id: request(m)?,
+        id: request_id(m)?,
         group,
         shard: m.whole("Slice")? as usize,
         weight: m.number("Measure")?,
@@ -61,12 +65,14 @@
     }))
 }
 
-/// Requests held by a server as its load report has it; a report that is odd is as none.
-fn held(m: &Message) -> Option<f64> {
+/// Number of requests that a server holds according to its load report; `None` if the report is absent or
+/// malformed.
+fn reported_requests(m: &Message) -> Option<f64> {
     let report = m.get("Gauge")?.as_object()?;
     report.get("rif").or_else(|| report.get("q"))?.as_f64().filter(|n| *n >= 0.0)
 }
 
+/// Reads how an attempt ended.
 fn outcome(m: &Message) -> Result<Outcome, String> {
     Ok(match m.text("Rc")? {
         "served" => Outcome::Served,
@@ -81,6 +87,7 @@
     })
 }
 
+/// The message that carries out an action of an instance.
 fn action_line(instance: u64, action: &Action) -> Value {
     match action {
         Action::Send { part, node, within } => {
@@ -93,8 +100,8 @@
             json!({"t": "Answer", "I": instance, "OpId": query.to_string(), "Full": whole})
         }
         Action::Refuse { query, retry_after } => {
-            let back = retry_after.unwrap_or(0.0);
-            json!({"t": "NotNow", "I": instance, "OpId": query.to_string(), "ComeBack": back})
+            let come_back = retry_after.unwrap_or(0.0);
+            json!({"t": "NotNow", "I": instance, "OpId": query.to_string(), "ComeBack": come_back})
         }
         Action::Fail { query } => json!({"t": "FinishError", "I": instance, "OpId": query.to_string()}),
         Action::Watch => json!({"t": "KeepInformed", "I": instance, "Full": true}),
@@ -102,22 +109,26 @@
     }
 }
 
-/// An aggregator and the number of classes its settings named.
+/// One aggregator, and the number of classes in its settings.
 struct Instance {
     aggregator: Aggregator,
     classes: usize,
 }
 
-/// All that lives between two batches.
+/// State that is kept from one batch to the next.
 #[derive(Default)]
 struct Adapter {
+    /// By the number that messages give in `I`.
     instances: BTreeMap<u64, Instance>,
+    /// Declared lists of servers, by the number that messages give in `Slot`.
     lists: BTreeMap<u64, Vec<Member>>,
+    /// By instance: the events of the open batch.
     inbox: BTreeMap<u64, Vec<Event>>,
 }
 
 impl Adapter {
-    fn hear(&mut self, m: &Message) -> Result<(), String> {
+    /// Applies a message of the open batch. The error names the faulty field.
+    fn receive(&mut self, m: &Message) -> Result<(), String> {
         if m.name() == "Ledger" {
             self.lists.insert(m.whole("Slot")?, members(m)?);
             return Ok(());
@@ -157,17 +168,17 @@
                 };
                 Some(Event::List { kind, members })
             }
-            "Order" => Some(order(m, instance.classes)?),
+            "Order" => Some(arrival(m, instance.classes)?),
             "ReportBack" => Some(Event::Ended {
-                part: request(m)?,
+                part: request_id(m)?,
                 attempt: m.whole("Hop")? as u32,
                 outcome: outcome(m)?,
                 elapsed: m.number("Rtt")?,
-                load: held(m),
+                load: reported_requests(m),
             }),
-            "Dropped" => Some(Event::Gone(request(m)?)),
+            "Dropped" => Some(Event::Gone(request_id(m)?)),
             "DeadlineHit" => m.whole("Ref").map(|_| Some(Event::Woken))?,
-            // Not asked for, but part of the wire.
+            // Part of the protocol, but of no use to the module.
             "Begun" | "Probed" | "Memo" => None,
             _ => return Err(format!("{}: the message is unknown", m.name())),
         };
@@ -175,6 +186,7 @@
         Ok(())
     }
 
+    /// Runs the open batch of each instance, and writes the actions and the line that ends the batch.
     fn reply(&mut self, now: Ms, batch: &Value, out: &mut impl Write) -> io::Result<()> {
         for (number, events) in std::mem::take(&mut self.inbox) {
             let Some(instance) = self.instances.get_mut(&number) else { continue };
@@ -187,13 +199,13 @@
     }
 }
 
-/// Reads batches until the input ends. The error is the line to print.
+/// Reads batches and answers each of them until the input ends. The error text names the line and the batch.
 fn serve(input: impl BufRead, mut out: impl Write) -> Result<(), String> {
     let mut adapter = Adapter::default();
     let mut open: Option<(Ms, Value)> = None;
     let mut last = Value::Null;
-    for (at, line) in input.lines().enumerate() {
-        let place = |batch: &Value| format!("line {}, batch {batch}", at + 1);
+    for (index, line) in input.lines().enumerate() {
+        let place = |batch: &Value| format!("line {}, batch {batch}", index + 1);
         let line = line.map_err(|e| format!("{}: cannot be read: {e}", place(&last)))?;
         if line.trim().is_empty() {
             continue;
@@ -222,7 +234,7 @@
                 adapter.reply(now, &batch, &mut out).map_err(|e| format!("{}: {e}", place(&last)))?;
             }
             _ if open.is_none() => return Err(format!("{}: {name}: no batch is open", place(&last))),
-            _ => adapter.hear(&m).map_err(|e| format!("{}: {e}", place(&last)))?,
+            _ => adapter.receive(&m).map_err(|e| format!("{}: {e}", place(&last)))?,
         }
     }
     Ok(())
