--- a/crates/brookbend/tests/adapter.rs
+++ b/crates/brookbend/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! Tests of the adapter by hand-written lines.
+//! Tests of the adapter binary with hand-written lines of the wire protocol.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -12,6 +12,7 @@
 const LEDGER: &str = r#"{"t":"Ledger","Slot":3,"MembersList":[{"Node":"10.0.0.1:80","Position":0,"Mode":"in_service"},
 {"Node":"10.0.0.2:80","Position":1,"Mode":"in_service","StartTime":0}]}"#;
 
+/// Runs the adapter with these lines as its input.
 fn run(lines: &[&str]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_brookbend-adapter"))
         .stdin(Stdio::piped())
@@ -21,7 +22,7 @@
         .unwrap();
     let mut input: String = lines.iter().map(|l| l.replace('\n', "") + "\n").collect();
     input.push('\n');
-    // A process that has given up may no longer read: that is no failure of the test.
+    // A process that has exited after an error no longer reads; a failed write is then expected.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
     child.wait_with_output().unwrap()
 }
@@ -46,52 +47,53 @@
 
 const END: &str = r#"{"t":"EofBatch"}"#;
 
-fn out(o: &Output) -> Vec<serde_json::Value> {
-    String::from_utf8_lossy(&o.stdout).lines().map(|l| serde_json::from_str(l).unwrap()).collect()
+/// The lines that the adapter has printed.
+fn output_lines(output: &Output) -> Vec<serde_json::Value> {
+    String::from_utf8_lossy(&output.stdout).lines().map(|l| serde_json::from_str(l).unwrap()).collect()
 }
 
 #[test]
-fn a_query_is_sent_answered_and_the_batch_closed() {
+fn a_query_is_sent_and_answered_and_every_batch_is_ended() {
     let served = r#"{"t":"ReportBack","I":4,"OpId":"t/p","Hop":0,"Node":"10.0.0.1:80","Rc":"served","Rtt":30.0,"Gauge":{"x":1}}"#;
     let (l, k, q, p) = (launch(4), known(4), order(4, "t/q", -1), order(4, "t/p", 0));
     let (a, b, c) = (tick(1, 100.0), tick(2, 105.0), tick(3, 140.0));
-    let o = run(&[&a, &l, LEDGER, &k, END, &b, &q, &p, END, &c, served, END]);
-    assert!(o.status.success(), "{}", String::from_utf8_lossy(&o.stderr));
-    let lines = out(&o);
-    let of = |t: &str| lines.iter().filter(|l| l["t"] == t).collect::<Vec<_>>();
-    assert_eq!(of("KeepInformed").len(), 1);
-    assert_eq!(of("Issue").len(), 1);
-    assert_eq!(of("Issue")[0]["OpId"], "t/p");
-    assert_eq!(of("Issue")[0]["I"], 4);
-    assert_eq!(of("Answer")[0]["Full"], true);
-    let ends: Vec<_> = of("End").iter().map(|l| l["n"].as_u64().unwrap()).collect();
+    let output = run(&[&a, &l, LEDGER, &k, END, &b, &q, &p, END, &c, served, END]);
+    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    let lines = output_lines(&output);
+    let of_type = |t: &str| lines.iter().filter(|l| l["t"] == t).collect::<Vec<_>>();
+    assert_eq!(of_type("KeepInformed").len(), 1);
+    assert_eq!(of_type("Issue").len(), 1);
+    assert_eq!(of_type("Issue")[0]["OpId"], "t/p");
+    assert_eq!(of_type("Issue")[0]["I"], 4);
+    assert_eq!(of_type("Answer")[0]["Full"], true);
+    let ends: Vec<_> = of_type("End").iter().map(|l| l["n"].as_u64().unwrap()).collect();
     assert_eq!(ends, [1, 2, 3]);
 }
 
 #[test]
-fn instances_are_apart_and_a_destroyed_one_starts_afresh() {
+fn instances_are_independent_and_a_destroyed_one_starts_afresh() {
     let destroy = r#"{"t":"Destroy","I":4}"#;
     let (l, k, q, p) = (launch(4), known(4), order(4, "t/q", -1), order(4, "t/p", 0));
     let (l5, k5) = (launch(5), known(5));
     let (a, b, c) = (tick(1, 100.0), tick(2, 105.0), tick(3, 4200.0));
-    let o = run(&[&a, &l, LEDGER, &k, &l5, &k5, END, &b, &q, &p, END, &c, destroy, &l, &k, END]);
-    assert!(o.status.success(), "{}", String::from_utf8_lossy(&o.stderr));
-    let lines = out(&o);
+    let output = run(&[&a, &l, LEDGER, &k, &l5, &k5, END, &b, &q, &p, END, &c, destroy, &l, &k, END]);
+    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    let lines = output_lines(&output);
     let issues: Vec<_> = lines.iter().filter(|l| l["t"] == "Issue").collect();
     assert!(issues.len() == 1 && issues[0]["I"] == 4);
-    assert!(lines.iter().all(|l| l["t"] != "NotNow"), "what the killed one held is forgotten");
+    assert!(lines.iter().all(|l| l["t"] != "NotNow"), "the queries of the destroyed instance are forgotten");
 }
 
 #[test]
-fn an_empty_batch_and_empty_input_are_fine() {
-    let o = run(&[&tick(7, 1.0), END]);
-    assert!(o.status.success());
-    assert_eq!(out(&o), vec![serde_json::json!({"t": "End", "n": 7})]);
+fn an_empty_batch_and_empty_input_are_accepted() {
+    let output = run(&[&tick(7, 1.0), END]);
+    assert!(output.status.success());
+    assert_eq!(output_lines(&output), vec![serde_json::json!({"t": "End", "n": 7})]);
     assert!(run(&[]).status.success());
 }
 
 #[test]
-fn bad_input_gets_one_plain_line_and_a_failure() {
+fn bad_input_is_reported_in_one_line_with_a_failure_exit() {
     let t = tick(12, 100.0);
     let l = launch(4);
     let no_aim = l.replace("\"Aim\"", "\"Game\"");
@@ -114,24 +116,24 @@
         (vec![r#"{"t":"Tick","Moment":1.0}"#], vec!["Tick", "field n"]),
     ];
     for (lines, words) in cases {
-        let o = run(&lines);
-        let err = String::from_utf8_lossy(&o.stderr).to_string();
-        assert_eq!(o.status.code(), Some(1), "{err}");
+        let output = run(&lines);
+        let err = String::from_utf8_lossy(&output.stderr).to_string();
+        assert_eq!(output.status.code(), Some(1), "{err}");
         assert_eq!(err.lines().count(), 1, "{err}");
         assert!(words.iter().all(|w| err.contains(w)), "{err} lacks one of {words:?}");
-        assert!(o.stdout.is_empty());
+        assert!(output.stdout.is_empty());
     }
 }
 
 #[test]
-fn load_reports_reach_the_module_and_odd_ones_are_as_none() {
-    // The server that answered first, and how often of eight queries that either may serve it is met after that.
-    let met = |gauge: &str| {
+fn load_reports_reach_the_module_and_malformed_ones_are_ignored() {
+    // How many of eight queries that either server could answer go to the one that answered first.
+    let sent_to_first = |gauge: &str| {
         let (l, k) = (launch(4), known(4));
         let mut lines = vec![tick(1, 100.0), l, LEDGER.to_string(), k, END.to_string()];
         lines.extend([tick(2, 105.0), order(4, "t/q", -1), order(4, "t/p", 0), END.to_string()]);
         let texts: Vec<&str> = lines.iter().map(String::as_str).collect();
-        let first = out(&run(&texts)).into_iter().find(|l| l["t"] == "Issue").unwrap();
+        let first = output_lines(&run(&texts)).into_iter().find(|l| l["t"] == "Issue").unwrap();
         let node = first["Node"].as_str().unwrap().to_string();
         let head = format!(r#""I":4,"OpId":"t/p","Hop":0,"Node":"{node}","Rc":"served","Rtt":30.0"#);
         lines.extend([tick(3, 140.0), format!(r#"{{"t":"ReportBack",{head}{gauge}}}"#), END.to_string()]);
@@ -142,17 +144,21 @@
         }
         lines.push(END.to_string());
         let texts: Vec<&str> = lines.iter().map(String::as_str).collect();
-        let o = run(&texts);
-        assert!(o.status.success(), "{}", String::from_utf8_lossy(&o.stderr));
-        out(&o).iter().filter(|l| l["t"] == "Issue" && l["Node"] == node.as_str()).count() - 1
+        let output = run(&texts);
+        assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+        output_lines(&output).iter().filter(|l| l["t"] == "Issue" && l["Node"] == node.as_str()).count() - 1
     };
-    let none = met("");
+    let none = sent_to_first("");
     assert!(none > 0);
-    assert_eq!(met(r#","Gauge":{"rif":40,"q":38}"#), 0);
-    assert_eq!(met(r#","Gauge":{"q":38}"#), 0, "parts waiting stand in for requests held");
-    for odd in
+    assert_eq!(sent_to_first(r#","Gauge":{"rif":40,"q":38}"#), 0);
+    assert_eq!(
+        sent_to_first(r#","Gauge":{"q":38}"#),
+        0,
+        "the number of waiting parts is used if that of held requests is absent"
+    );
+    for malformed in
         [r#","Gauge":{"rif":"many"}"#, r#","Gauge":{"rif":-5}"#, r#","Gauge":[1]"#, r#","Gauge":{"rate":99}"#]
     {
-        assert_eq!(met(odd), none, "{odd}");
+        assert_eq!(sent_to_first(malformed), none, "{malformed}");
     }
 }
--- a/crates/brookbend/tests/common/mod.rs
+++ b/crates/brookbend/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A small bench-free stand for the module: settings, servers, and short names for events.
+//! Test harness for the decision module that needs no bench: settings, lists of servers, and short
+//! constructors of events.
 #![allow(dead_code)]
 
 use brookbend::Aggregator;
@@ -18,7 +19,7 @@
     }
 }
 
-/// A ring of six cells, three in a row for a shard.
+/// Settings of a ring of six cells, where each shard is held in three consecutive ones.
 pub fn ring() -> Settings {
     Settings {
         classes: vec![class()],
@@ -45,7 +46,7 @@
     }
 }
 
-/// Two sets of three servers.
+/// Settings of two cells that hold half of the shards each.
 pub fn sets() -> Settings {
     Settings { cells: 2, reach: 1, shards: 6, ..ring() }
 }
@@ -62,25 +63,29 @@
     Member { node: node(name), cell, state: NodeState::Serving, zone: None, started: None }
 }
 
+/// An aggregator with its clock and the wake-up it has asked for.
 pub struct Harness {
-    pub a: Aggregator,
+    pub aggregator: Aggregator,
     pub now: Ms,
     wake_at: Ms,
     group: u64,
 }
 
 impl Harness {
-    /// An aggregator that has read a list with so many servers a cell: `c0n0`, `c0n1`, `c1n0` and so on.
+    /// An aggregator that has read a list with `per_cell` servers in each cell, named `c0n0`, `c0n1`, `c1n0`
+    /// and so on.
     pub fn new(settings: Settings, per_cell: usize) -> Harness {
-        let names = (0..settings.cells).flat_map(|c| (0..per_cell).map(move |n| (format!("c{c}n{n}"), c)));
+        let names =
+            (0..settings.cells).flat_map(|cell| (0..per_cell).map(move |n| (format!("c{cell}n{n}"), cell)));
         let members = names.map(|(name, cell)| member(&name, cell)).collect();
-        let a = Aggregator::new(settings, 11);
-        let mut stand = Harness { a, now: 0.0, wake_at: f64::INFINITY, group: 0 };
-        stand.batch(0.0, vec![Event::List { kind: ListKind::Disk, members }]);
-        stand
+        let aggregator = Aggregator::new(settings, 11);
+        let mut harness = Harness { aggregator, now: 0.0, wake_at: f64::INFINITY, group: 0 };
+        harness.batch(0.0, vec![Event::List { kind: ListKind::Disk, members }]);
+        harness
     }
 
-    /// A batch with these events, `after` from the last, and one at each time in between that was asked for.
+    /// Runs a batch with these events `after` milliseconds after the last one, and before it one batch at
+    /// each wake-up that the aggregator has asked for.
     pub fn step(&mut self, after: Ms, events: Vec<Event>) -> Vec<Action> {
         let end = self.now + after;
         let mut actions = Vec::new();
@@ -91,29 +96,30 @@
         actions
     }
 
-    /// One batch, as of an aggregator that stood still since the last.
+    /// Runs a single batch, as if the aggregator had been paused since the last one.
     pub fn batch(&mut self, now: Ms, mut events: Vec<Event>) -> Vec<Action> {
         self.now = now;
         if now >= self.wake_at {
             self.wake_at = f64::INFINITY;
             events.push(Event::Woken);
         }
-        let actions = self.a.on_batch(now, events);
-        for a in &actions {
-            if let Action::Wake { after } = a {
+        let actions = self.aggregator.on_batch(now, events);
+        for action in &actions {
+            if let Action::Wake { after } = action {
                 self.wake_at = now + after;
             }
         }
         actions
     }
 
-    /// Events of a query named `name` with a part `name.shard` for each shard, of even weight.
-    pub fn query(&mut self, name: &str, class: usize, shards: &[usize], patience: Ms) -> Vec<Event> {
+    /// Events of the arrival of a query named `name`, with a part `name.shard` of equal weight for each
+    /// shard. `client_timeout` counts from the next batch, five milliseconds on.
+    pub fn query(&mut self, name: &str, class: usize, shards: &[usize], client_timeout: Ms) -> Vec<Event> {
         self.group += 1;
-        let give_up_at = self.now + 5.0 + patience;
+        let give_up_at = self.now + 5.0 + client_timeout;
         let (class, tenant) = (ClassIndex(class), TenantIndex(0));
         let (group, patience_ends, max_attempts) = (self.group, give_up_at, None);
-        let q = Query {
+        let query = Query {
             id: id(name),
             group,
             class,
@@ -123,7 +129,7 @@
             max_attempts,
             again: false,
         };
-        let mut events = vec![Event::Query(q)];
+        let mut events = vec![Event::Query(query)];
         let weight = 1.0 / shards.len() as f64;
         for &shard in shards {
             let id = id(&format!("{name}.{shard}"));
@@ -132,33 +138,34 @@
         events
     }
 
-    /// Asks a query five milliseconds on.
+    /// Sends a query of class 0 five milliseconds on.
     pub fn ask(&mut self, name: &str, shards: &[usize]) -> Vec<Action> {
         let events = self.query(name, 0, shards, 4000.0);
         self.step(5.0, events)
     }
 
-    /// Asks so many one-part queries in a row and has every attempt served, but those at a server in `sick`
-    /// end as told. Returns how many attempts went to each server.
+    /// Sends `count` queries of one part each, one after another. Every attempt is served, except that
+    /// attempts at the servers in `failing` end with `failure`. Returns the number of attempts that each
+    /// server got.
     pub fn traffic(
         &mut self,
-        n: usize,
-        sick: &[&str],
-        how: Outcome,
+        count: usize,
+        failing: &[&str],
+        failure: Outcome,
     ) -> std::collections::BTreeMap<String, usize> {
-        let mut seen = std::collections::BTreeMap::new();
-        for k in 0..n {
+        let mut attempts_by_server = std::collections::BTreeMap::new();
+        for k in 0..count {
             let name = format!("t{}-{k}", self.group);
             let mut open = sends(&self.ask(&name, &[k % 3]));
             let mut attempt = 0;
             while let Some((part, node, _)) = open.pop() {
-                *seen.entry(node.clone()).or_default() += 1;
-                let outcome = if sick.contains(&node.as_str()) { how } else { Outcome::Served };
+                *attempts_by_server.entry(node.clone()).or_default() += 1;
+                let outcome = if failing.contains(&node.as_str()) { failure } else { Outcome::Served };
                 open.extend(sends(&self.step(30.0, vec![ended(&part, attempt, outcome, 30.0)])));
                 attempt += 1;
             }
         }
-        seen
+        attempts_by_server
     }
 }
 
@@ -166,17 +173,19 @@
     Event::Ended { part: id(part), attempt, outcome, elapsed, load: None }
 }
 
-/// Part, server and time-out of each send.
+/// Part, server and timeout of each send among the actions.
 pub fn sends(actions: &[Action]) -> Vec<(String, String, Option<Ms>)> {
-    let pick = |a: &Action| match a {
+    let send = |action: &Action| match action {
         Action::Send { part, node, within } => Some((part.to_string(), node.0.to_string(), *within)),
         _ => None,
     };
-    actions.iter().filter_map(pick).collect()
+    actions.iter().filter_map(send).collect()
 }
 
-/// The final answers among the actions.
+/// The actions that end a query, or answer its first step.
 pub fn finals(actions: &[Action]) -> Vec<Action> {
-    let is = |a: &&Action| matches!(a, Action::Answer { .. } | Action::Refuse { .. } | Action::Fail { .. });
-    actions.iter().filter(is).cloned().collect()
+    let is_final = |action: &&Action| {
+        matches!(action, Action::Answer { .. } | Action::Refuse { .. } | Action::Fail { .. })
+    };
+    actions.iter().filter(is_final).cloned().collect()
 }
--- a/crates/brookbend/tests/common/random_day.rs
+++ b/crates/brookbend/tests/common/random_day.rs
@@ -1,5 +1,6 @@
-//! Random days for the decisions: servers that slow down, fail, fall silent, drain and come back cold; queries of all kinds
-//! of classes; lists, new settings, clients that leave, pauses. A day is a matter of its seed and its plan alone.
+//! Random simulated days for the decision module: servers that slow down, fail, fall silent, drain and come
+//! back cold; queries of all kinds of classes; lists, new settings, clients that disconnect, pauses. A day
+//! depends on its plan alone, which includes the seed.
 #![allow(dead_code)]
 
 use brookbend::Begun;
@@ -9,17 +10,17 @@
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::collections::BTreeMap;
 
-/// What takes the events of a day.
-pub trait Decides {
+/// A decision module under test, which receives the events of a day.
+pub trait DecisionModule {
     fn on_batch(&mut self, now: Ms, events: Vec<Event>) -> Vec<Action>;
     fn retune(&mut self, set: Settings, begun: &[Begun]);
     fn end_by(&mut self, at: Ms);
     fn report_bulk(&mut self, now: Ms, class: ClassIndex, reports: &[Bulk]);
-    /// All that shows of what it knows.
+    /// Everything that can be observed of what it has learned, as text.
     fn state(&self, now: Ms) -> String;
 }
 
-impl Decides for brookbend::Aggregator {
+impl DecisionModule for brookbend::Aggregator {
     fn on_batch(&mut self, now: Ms, events: Vec<Event>) -> Vec<Action> {
         self.on_batch(now, events)
     }
@@ -37,49 +38,56 @@
     }
 }
 
-/// What kind of day it is.
+/// Parameters of a day.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub seed: u64,
     pub steps: usize,
-    /// Parts of a query, at least and at most.
+    /// Minimum and maximum number of parts of a query.
     pub parts: (usize, usize),
     pub servers: usize,
     pub cells: usize,
     pub reach: usize,
-    /// Queries a step.
+    /// Mean number of queries that arrive in a step.
     pub queries: f64,
-    /// Share of attempts that end other than well.
+    /// Share of attempts at a healthy server that fail or are slow.
     pub faults: f64,
     pub second_copies: bool,
     pub cancel: bool,
     pub budget: bool,
+    /// Whether the ids of queries and parts are names instead of numbers.
     pub named: bool,
 }
 
-pub struct Chance(Pcg64Mcg);
+/// Seeded random numbers.
+pub struct Random(Pcg64Mcg);
 
-impl Chance {
+impl Random {
     pub fn new(seed: u64) -> Self {
-        Chance(Pcg64Mcg::seed_from_u64(seed))
+        Random(Pcg64Mcg::seed_from_u64(seed))
     }
-    pub fn random(&mut self) -> f64 {
+    /// Uniform from 0 to below 1.
+    pub fn uniform(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
+    /// True with this probability.
     pub fn is(&mut self, share: f64) -> bool {
-        self.random() < share
+        self.uniform() < share
     }
+    /// Uniform whole number below `n`; 0 if `n` is 0.
     pub fn below(&mut self, n: usize) -> usize {
-        ((self.random() * n as f64) as usize).min(n.saturating_sub(1))
+        ((self.uniform() * n as f64) as usize).min(n.saturating_sub(1))
     }
+    /// Uniform from `from` to below `to`.
     pub fn within(&mut self, from: f64, to: f64) -> f64 {
-        from + (to - from) * self.random()
+        from + (to - from) * self.uniform()
     }
 }
 
+/// How a simulated server treats attempts.
 #[derive(Clone, Copy, PartialEq)]
-enum Mood {
-    Well,
+enum Health {
+    Healthy,
     Slow,
     Errors,
     Full,
@@ -89,10 +97,11 @@
 
 struct Node {
     member: Member,
-    mood: Mood,
+    health: Health,
 }
 
-struct Open {
+/// An open query.
+struct OpenQuery {
     id: RequestId,
     give_up_at: Ms,
     group: u64,
@@ -100,21 +109,21 @@
     two_step: bool,
 }
 
-/// A day that goes on.
+/// A simulated day in progress.
 pub struct Day {
     plan: Plan,
-    chance: Chance,
+    random: Random,
     pub now: Ms,
     set: Settings,
     nodes: Vec<Node>,
-    open: Vec<Open>,
-    /// Attempts that are out, by when they end.
-    out: Vec<(Ms, RequestId, u32, Outcome, Ms)>,
+    open: Vec<OpenQuery>,
+    /// Attempts in flight: when each ends, its part and number, its outcome, and when it was sent.
+    in_flight: Vec<(Ms, RequestId, u32, Outcome, Ms)>,
     sent: BTreeMap<RequestId, u32>,
     wake_at: Ms,
     next: u64,
     events: Vec<Event>,
-    /// Actions so far.
+    /// Number of actions so far.
     pub actions: usize,
 }
 
@@ -132,7 +141,7 @@
     }
 }
 
-/// Classes of all kinds.
+/// Classes that differ in semantics, need, floor, worth of late and partial answers, and number of steps.
 pub fn classes() -> Vec<Class> {
     let keyed = Semantics::Keyed { window: 60.0 };
     vec![
@@ -177,7 +186,7 @@
 
 impl Day {
     pub fn new(plan: Plan) -> Self {
-        let mut chance = Chance::new(plan.seed);
+        let mut random = Random::new(plan.seed);
         let node = |n: usize| Member {
             node: NodeId(format!("n{n:05}").into()),
             cell: n % plan.cells,
@@ -185,16 +194,16 @@
             zone: Some(n % 3),
             started: None,
         };
-        let nodes = (0..plan.servers).map(|n| Node { member: node(n), mood: Mood::Well }).collect();
-        let kind = if chance.is(0.8) { ListKind::Disk } else { ListKind::Changes };
+        let nodes = (0..plan.servers).map(|n| Node { member: node(n), health: Health::Healthy }).collect();
+        let kind = if random.is(0.8) { ListKind::Disk } else { ListKind::Changes };
         let mut day = Day {
             plan,
-            chance,
+            random,
             now: 1000.0,
             set: settings(&plan),
             nodes,
             open: Vec::new(),
-            out: Vec::new(),
+            in_flight: Vec::new(),
             sent: BTreeMap::new(),
             wake_at: f64::INFINITY,
             next: 0,
@@ -210,6 +219,7 @@
         self.nodes.iter().map(|n| n.member.clone()).collect()
     }
 
+    /// Id of a part; zero-padded names sort in the order of the queries' numbers.
     fn part_id(&self, query: u64, part: usize) -> RequestId {
         match self.plan.named {
             true => RequestId::named(&format!("q{query:06}.{part}")),
@@ -224,82 +234,94 @@
         }
     }
 
-    fn parts(&mut self, group: u64, from: usize, n: usize) {
-        let even = 1.0 / n as f64;
-        let uneven = self.chance.is(0.3);
-        // Now and then the weights add up to a limit exactly, but for the order in which they are added.
-        let exact = self.chance.is(0.3);
-        for i in from..from + n {
+    /// Adds the arrival of `count` parts of a query, numbered from `from`.
+    fn add_parts(&mut self, group: u64, from: usize, count: usize) {
+        let even = 1.0 / count as f64;
+        let uneven = self.random.is(0.3);
+        // Sometimes the weights add up exactly to a limit, except for rounding, which depends on the order of
+        // addition.
+        let exact = self.random.is(0.3);
+        for i in from..from + count {
             let weight = match (uneven, exact) {
-                (true, true) => 0.05 + 5e-5 * (self.chance.below(3) as f64 - 1.0),
-                (true, false) => even * self.chance.within(0.2, 1.8),
+                (true, true) => 0.05 + 5e-5 * (self.random.below(3) as f64 - 1.0),
+                (true, false) => even * self.random.within(0.2, 1.8),
                 (false, true) => 0.1,
                 (false, false) => even,
             };
-            let shard = self.chance.below(self.set.shards.max(1));
-            let hint = if self.chance.is(0.3) { Some(self.chance.within(0.1, 30.0)) } else { None };
+            let shard = self.random.below(self.set.shards.max(1));
+            let hint = if self.random.is(0.3) { Some(self.random.within(0.1, 30.0)) } else { None };
             let id = self.part_id(group, i);
             self.events.push(Event::Part(Part { id, group, shard, weight, work_hint: hint }));
         }
     }
 
-    /// A query of a class comes, or of any.
+    /// Adds the arrival of a query of this class, or of a random class if `None`.
     pub fn query(&mut self, class: Option<usize>, parts: usize) {
-        let class = class.unwrap_or_else(|| self.chance.below(self.set.classes.len()));
+        let class = class.unwrap_or_else(|| self.random.below(self.set.classes.len()));
         self.next += 1;
         let (group, id) = (self.next, self.query_id(self.next));
         let give_up = self.set.classes[class].give_up;
-        let again = self.chance.is(0.1);
-        let patience = if again { give_up * self.chance.within(0.3, 0.9) } else { give_up };
-        let give_up_at = self.now + if self.chance.is(0.1) { patience * 0.5 } else { patience };
-        let max_attempts = if self.chance.is(0.1) { Some(self.chance.below(4) as u32) } else { None };
-        let tenant = TenantIndex(self.chance.below(3));
+        let again = self.random.is(0.1);
+        let client_timeout = if again { give_up * self.random.within(0.3, 0.9) } else { give_up };
+        let give_up_at = self.now + if self.random.is(0.1) { client_timeout * 0.5 } else { client_timeout };
+        let max_attempts = if self.random.is(0.1) { Some(self.random.below(4) as u32) } else { None };
+        let tenant = TenantIndex(self.random.below(3));
         self.events.push(Event::Query(Query {
             id: id.clone(),
             group,
             class: ClassIndex(class),
             tenant,
             give_up_at,
-            patience_ends: self.now + patience,
+            patience_ends: self.now + client_timeout,
             max_attempts,
             again,
         }));
-        let now = if self.chance.is(0.03) { parts / 2 } else { parts };
-        self.parts(group, 0, now);
+        let arrived = if self.random.is(0.03) { parts / 2 } else { parts };
+        self.add_parts(group, 0, arrived);
         let two_step = self.set.classes[class].second_step;
-        self.open.push(Open { id, give_up_at, group, parts: now, two_step });
+        self.open.push(OpenQuery { id, give_up_at, group, parts: arrived, two_step });
     }
 
-    fn moods(&mut self) {
-        let n = self.chance.below(self.nodes.len());
-        let moods = [Mood::Well, Mood::Well, Mood::Slow, Mood::Errors, Mood::Full, Mood::Silent, Mood::Dead];
-        self.nodes[n].mood = moods[self.chance.below(moods.len())];
+    /// Gives a random server a random health.
+    fn change_health(&mut self) {
+        let n = self.random.below(self.nodes.len());
+        let states = [
+            Health::Healthy,
+            Health::Healthy,
+            Health::Slow,
+            Health::Errors,
+            Health::Full,
+            Health::Silent,
+            Health::Dead,
+        ];
+        self.nodes[n].health = states[self.random.below(states.len())];
     }
 
-    fn lists(&mut self) {
-        let n = self.chance.below(self.nodes.len());
-        let kind = self.chance.below(20);
+    /// Adds an update of the list of servers.
+    fn update_list(&mut self) {
+        let n = self.random.below(self.nodes.len());
+        let kind = self.random.below(20);
         let (members, kind) = match kind {
             0 => (self.members(), ListKind::Complete),
             1 => (Vec::new(), ListKind::Error),
             2 => {
-                // A cell goes, or comes.
-                let state = if self.chance.is(0.4) { NodeState::Gone } else { NodeState::Serving };
-                let cell = self.chance.below(self.plan.cells);
-                let of = self.nodes.iter_mut().filter(|n| n.member.cell == cell);
-                let changed = of.map(|n| {
+                // All servers of a cell leave, or return.
+                let state = if self.random.is(0.4) { NodeState::Gone } else { NodeState::Serving };
+                let cell = self.random.below(self.plan.cells);
+                let in_cell = self.nodes.iter_mut().filter(|n| n.member.cell == cell);
+                let changed = in_cell.map(|n| {
                     n.member.state = state;
                     n.member.clone()
                 });
                 (changed.collect(), ListKind::Changes)
             }
             3 => {
-                let name = format!("x{:05}", self.chance.below(40));
-                let cell = self.chance.below(self.plan.cells + 1);
+                let name = format!("x{:05}", self.random.below(40));
+                let cell = self.random.below(self.plan.cells + 1);
                 let started = Some(self.now);
                 let (node, state) = (NodeId(name.as_str().into()), NodeState::Serving);
                 let member = Member { node, cell, state, zone: None, started };
-                self.nodes.push(Node { member: member.clone(), mood: Mood::Well });
+                self.nodes.push(Node { member: member.clone(), health: Health::Healthy });
                 (vec![member], ListKind::Changes)
             }
             4 if self.nodes.len() > 2 => {
@@ -309,50 +331,52 @@
             }
             _ => {
                 let state = [NodeState::Serving, NodeState::Serving, NodeState::Draining, NodeState::Gone]
-                    [self.chance.below(4)];
-                let started = if self.chance.is(0.5) { Some(self.now - 20.0) } else { None };
+                    [self.random.below(4)];
+                let started = if self.random.is(0.5) { Some(self.now - 20.0) } else { None };
                 let node = &mut self.nodes[n];
                 (node.member.state, node.member.started) = (state, started.or(node.member.started));
-                (vec![node.member.clone(); 1 + self.chance.below(2)], ListKind::Changes)
+                (vec![node.member.clone(); 1 + self.random.below(2)], ListKind::Changes)
             }
         };
         self.events.push(Event::List { kind, members });
     }
 
-    fn retuned(&mut self, who: &mut [&mut dyn Decides]) {
+    /// Gives all modules new settings.
+    fn change_settings(&mut self, modules: &mut [&mut dyn DecisionModule]) {
         let mut begun = Vec::new();
-        match self.chance.below(7) {
+        match self.random.below(7) {
             0 => self.set.second_copies ^= true,
             1 => self.set.cancel ^= true,
-            2 => self.set.max_attempts = 1 + self.chance.below(5) as u32,
-            3 => self.set.reach = 1 + self.chance.below(self.plan.cells),
+            2 => self.set.max_attempts = 1 + self.random.below(5) as u32,
+            3 => self.set.reach = 1 + self.random.below(self.plan.cells),
             4 => {
-                let of = self.chance.below(self.set.classes.len());
-                self.set.classes[of].floor = self.set.classes[of].need * self.chance.random();
-                self.set.classes[of].aim = self.chance.within(50.0, 150.0);
+                let of = self.random.below(self.set.classes.len());
+                self.set.classes[of].floor = self.set.classes[of].need * self.random.uniform();
+                self.set.classes[of].aim = self.random.within(50.0, 150.0);
             }
             5 if self.set.classes.len() < 12 => {
-                let of = self.chance.below(self.set.classes.len());
+                let of = self.random.below(self.set.classes.len());
                 self.set.classes.push(self.set.classes[of].clone());
                 let class = ClassIndex(self.set.classes.len() - 1);
                 begun.push(Begun { class, heir_of: Some(ClassIndex(of)) });
             }
             _ => {
-                let span = self.chance.within(50.0, 400.0);
-                self.set.budget = Some(AttemptBudget { spare: 3.0, per_request: self.chance.random(), span });
+                let span = self.random.within(50.0, 400.0);
+                self.set.budget =
+                    Some(AttemptBudget { spare: 3.0, per_request: self.random.uniform(), span });
             }
         }
-        who.iter_mut().for_each(|d| d.retune(self.set.clone(), &begun));
+        modules.iter_mut().for_each(|d| d.retune(self.set.clone(), &begun));
     }
 
-    /// How an attempt at a server will end, and after how long.
-    fn fate(&mut self, node: &NodeId, within: Option<Ms>, give_up: Ms) -> (Outcome, Ms) {
-        let usual = self.chance.within(2.0, 15.0);
-        let mood = self.nodes.iter().find(|n| n.member.node == *node).map_or(Mood::Dead, |n| n.mood);
-        let slow = usual + self.chance.within(30.0, 300.0);
-        let odd = self.chance.is(self.plan.faults);
-        let (outcome, after) = match mood {
-            Mood::Well if odd => match self.chance.below(7) {
+    /// The outcome of an attempt at a server, and the time in milliseconds after which it ends.
+    fn outcome(&mut self, node: &NodeId, within: Option<Ms>, give_up: Ms) -> (Outcome, Ms) {
+        let usual = self.random.within(2.0, 15.0);
+        let health = self.nodes.iter().find(|n| n.member.node == *node).map_or(Health::Dead, |n| n.health);
+        let slow = usual + self.random.within(30.0, 300.0);
+        let faulty = self.random.is(self.plan.faults);
+        let (outcome, after) = match health {
+            Health::Healthy if faulty => match self.random.below(7) {
                 0 => (Outcome::Error, usual),
                 1 => (Outcome::Full, 1.0),
                 2 => (Outcome::ConnectionLost, usual),
@@ -361,42 +385,43 @@
                 5 => (Outcome::TimedOut, f64::INFINITY),
                 _ => (Outcome::Served, slow),
             },
-            Mood::Well => (Outcome::Served, usual),
-            Mood::Slow => (Outcome::Served, slow),
-            Mood::Errors => (Outcome::Error, usual),
-            Mood::Full => (Outcome::Full, 1.0),
-            Mood::Silent => (Outcome::TimedOut, f64::INFINITY),
-            Mood::Dead if odd => (Outcome::NoConnection, 1.0),
-            Mood::Dead => (Outcome::ConnectionLost, usual),
+            Health::Healthy => (Outcome::Served, usual),
+            Health::Slow => (Outcome::Served, slow),
+            Health::Errors => (Outcome::Error, usual),
+            Health::Full => (Outcome::Full, 1.0),
+            Health::Silent => (Outcome::TimedOut, f64::INFINITY),
+            Health::Dead if faulty => (Outcome::NoConnection, 1.0),
+            Health::Dead => (Outcome::ConnectionLost, usual),
         };
-        let end = within.unwrap_or(f64::INFINITY).min(give_up - self.now).max(0.0);
-        if after > end { (Outcome::TimedOut, end) } else { (outcome, after) }
+        let timeout = within.unwrap_or(f64::INFINITY).min(give_up - self.now).max(0.0);
+        if after > timeout { (Outcome::TimedOut, timeout) } else { (outcome, after) }
     }
 
+    /// Carries out the actions of a batch.
     fn carry_out(&mut self, actions: &[Action]) {
         self.actions += actions.len();
         for action in actions {
             match action {
                 Action::Send { part, node, within } => {
-                    let (outcome, after) = self.fate(node, *within, self.now + 400.0);
+                    let (outcome, after) = self.outcome(node, *within, self.now + 400.0);
                     let attempt = self.sent.entry(part.clone()).or_default();
-                    self.out.push((self.now + after, part.clone(), *attempt, outcome, self.now));
+                    self.in_flight.push((self.now + after, part.clone(), *attempt, outcome, self.now));
                     *attempt += 1;
                 }
                 Action::Cancel { part, attempt } => {
-                    let called_off = self.out.iter_mut().find(|o| o.1 == *part && o.2 == *attempt);
-                    if let Some(o) = called_off {
+                    let cancelled = self.in_flight.iter_mut().find(|o| o.1 == *part && o.2 == *attempt);
+                    if let Some(o) = cancelled {
                         (o.0, o.3) = (self.now, Outcome::Cancelled);
                     }
                 }
                 Action::Answer { query, .. } => {
                     let Some(at) = self.open.iter().position(|o| o.id == *query) else { continue };
-                    if self.open[at].two_step && self.chance.is(0.9) {
+                    if self.open[at].two_step && self.random.is(0.9) {
                         let (group, from) = (self.open[at].group, self.open[at].parts);
                         self.open[at].two_step = false;
-                        let n = 1 + self.chance.below(6);
+                        let n = 1 + self.random.below(6);
                         self.open[at].parts += n;
-                        self.parts(group, from, n);
+                        self.add_parts(group, from, n);
                     } else if !self.open[at].two_step {
                         self.open.remove(at);
                     }
@@ -410,96 +435,100 @@
         }
     }
 
-    /// What has ended by now is told, mostly at once.
-    fn ends(&mut self) {
+    /// Adds the events of attempts that have ended by now. A few are delayed, and a few are reported twice.
+    fn report_ended(&mut self) {
         let now = self.now;
         let mut later = Vec::new();
-        for (at, part, attempt, outcome, sent) in std::mem::take(&mut self.out) {
-            if at > now || self.chance.is(0.05) {
+        for (at, part, attempt, outcome, sent) in std::mem::take(&mut self.in_flight) {
+            if at > now || self.random.is(0.05) {
                 later.push((at, part, attempt, outcome, sent));
                 continue;
             }
-            let load = if self.chance.is(0.3) { Some(self.chance.within(0.0, 20.0).floor()) } else { None };
-            if self.chance.is(0.006) {
+            let load = if self.random.is(0.3) { Some(self.random.within(0.0, 20.0).floor()) } else { None };
+            if self.random.is(0.006) {
                 self.events.push(Event::Unreachable(part.clone()));
             }
             let event = Event::Ended { part, attempt, outcome, elapsed: now - sent, load };
-            if self.chance.is(0.004) {
+            if self.random.is(0.004) {
                 self.events.push(event.clone());
             }
             self.events.push(event);
         }
-        self.out = later;
+        self.in_flight = later;
     }
 
-    /// One batch for all; what each did must be the same. None: it was.
-    pub fn batch(&mut self, who: &mut [&mut dyn Decides]) -> Option<String> {
-        self.ends();
+    /// Runs one batch on all modules. Describes the actions if they differ between modules.
+    pub fn batch(&mut self, modules: &mut [&mut dyn DecisionModule]) -> Option<String> {
+        self.report_ended();
         if self.now >= self.wake_at {
             self.wake_at = f64::INFINITY;
             self.events.push(Event::Woken);
         }
         let events = std::mem::take(&mut self.events);
-        let did: Vec<Vec<Action>> = who.iter_mut().map(|d| d.on_batch(self.now, events.clone())).collect();
-        if did.iter().any(|d| *d != did[0]) {
-            return Some(format!("at {}: {did:#?}", self.now));
+        let actions: Vec<Vec<Action>> =
+            modules.iter_mut().map(|d| d.on_batch(self.now, events.clone())).collect();
+        if actions.iter().any(|d| *d != actions[0]) {
+            return Some(format!("at {}: {actions:#?}", self.now));
         }
-        self.carry_out(&did[0]);
+        self.carry_out(&actions[0]);
         None
     }
 
-    /// One step of the day: something happens, and a batch.
-    pub fn step(&mut self, who: &mut [&mut dyn Decides]) -> Option<String> {
-        self.now += match self.chance.below(40) {
-            0 => self.chance.within(50.0, 300.0),
+    /// One step of the day: random events, then a batch. Describes the actions if they differ between
+    /// modules.
+    pub fn step(&mut self, modules: &mut [&mut dyn DecisionModule]) -> Option<String> {
+        self.now += match self.random.below(40) {
+            0 => self.random.within(50.0, 300.0),
             1..10 => 5.0,
-            _ => self.chance.within(0.0, 4.0),
+            _ => self.random.within(0.0, 4.0),
         };
         let mut queries = self.plan.queries;
-        while self.chance.is(queries) {
-            let (least, most) = self.plan.parts;
-            let parts = least + self.chance.below(most - least + 1);
+        while self.random.is(queries) {
+            let (min, max) = self.plan.parts;
+            let parts = min + self.random.below(max - min + 1);
             self.query(None, parts);
             queries -= 1.0;
         }
-        if self.chance.is(0.05) {
-            self.moods();
+        if self.random.is(0.05) {
+            self.change_health();
         }
-        if self.chance.is(0.05) {
-            self.lists();
+        if self.random.is(0.05) {
+            self.update_list();
         }
-        if self.chance.is(0.02) && !self.open.is_empty() {
-            let gone = self.open.remove(self.chance.below(self.open.len()));
+        if self.random.is(0.02) && !self.open.is_empty() {
+            let gone = self.open.remove(self.random.below(self.open.len()));
             self.events.push(Event::Gone(gone.id));
         }
-        if self.chance.is(0.01) {
-            self.retuned(who);
+        if self.random.is(0.01) {
+            self.change_settings(modules);
         }
-        if self.chance.is(0.003) {
-            let at = self.now + self.chance.within(0.0, 100.0);
+        if self.random.is(0.003) {
+            let at = self.now + self.random.within(0.0, 100.0);
             self.open.iter_mut().for_each(|o| o.give_up_at = o.give_up_at.min(at));
-            who.iter_mut().for_each(|d| d.end_by(at));
+            modules.iter_mut().for_each(|d| d.end_by(at));
         }
-        if self.chance.is(0.01) {
-            let node = self.nodes[self.chance.below(self.nodes.len())].member.node.clone();
-            let (served, errors, lost) = [(9, 0, 0), (0, 9, 0), (0, 0, 9), (3, 3, 3)][self.chance.below(4)];
+        if self.random.is(0.01) {
+            let node = self.nodes[self.random.below(self.nodes.len())].member.node.clone();
+            let (served, errors, lost) = [(9, 0, 0), (0, 9, 0), (0, 0, 9), (3, 3, 3)][self.random.below(4)];
             let bulk = Bulk { node, served, errors, lost, elapsed: Some(8.0) };
-            who.iter_mut().for_each(|d| d.report_bulk(self.now, ClassIndex(0), std::slice::from_ref(&bulk)));
+            modules
+                .iter_mut()
+                .for_each(|d| d.report_bulk(self.now, ClassIndex(0), std::slice::from_ref(&bulk)));
         }
-        self.batch(who)
+        self.batch(modules)
     }
 
-    /// A whole day; what went otherwise, if anything did.
-    pub fn play(plan: Plan, who: &mut [&mut dyn Decides]) -> Result<usize, String> {
+    /// Plays a whole day. Returns the number of actions, or the first difference between the modules.
+    pub fn play(plan: Plan, modules: &mut [&mut dyn DecisionModule]) -> Result<usize, String> {
         let mut day = Day::new(plan);
         for n in 0..plan.steps {
-            if let Some(other) = day.step(who) {
-                return Err(format!("step {n}, {other}"));
+            if let Some(difference) = day.step(modules) {
+                return Err(format!("step {n}, {difference}"));
             }
             if n % 50 == 49 || n + 1 == plan.steps {
-                let states: Vec<String> = who.iter().map(|d| d.state(day.now)).collect();
+                let states: Vec<String> = modules.iter().map(|d| d.state(day.now)).collect();
                 if states.iter().any(|s| *s != states[0]) {
-                    return Err(format!("step {n}: they know other things: {states:#?}"));
+                    return Err(format!("step {n}: the learned state differs: {states:#?}"));
                 }
             }
         }
--- a/crates/brookbend/tests/fleet/mod.rs
+++ b/crates/brookbend/tests/fleet/mod.rs
@@ -1,15 +1,16 @@
-//! A fleet of aggregators and the servers of a few cells, in simulated time: one clock for all, servers that queue, news
-//! of a start that comes to each aggregator at a moment of its own.
+//! Simulation of a fleet of aggregators and the servers of a few cells: one simulated clock for all, servers
+//! with queues, and notifications of a server's start that reach each aggregator at a time of its own.
 //!
-//! A few cells stand for 7,800 servers, since what an aggregator may send to a cold server hangs on three things: on what
-//! it sent that server, on the share of a warm one that its served work fills (a mean over all warm ones), and on how
-//! often its parts want such a server (over all cells). The first is the same with a few cells. The other two are
-//! means, and scatter more where there are fewer servers to take them over: the play is the harder one. What a few cells
-//! do not show is a mean over servers that the aggregator never asks: [`Shape::unasked`] adds such. Servers of many cells that
-//! are cold at once are further draws of the same: [`Play::cold_cells`].
+//! A few cells represent 7,800 servers, since what an aggregator may send to a cold server depends on three
+//! things: on what it has sent to that server, on the share of a warm server that its served work fills (a
+//! mean over all warm ones), and on how often its parts need such a server (over all cells). The first does
+//! not depend on the number of cells. The other two are means, and scatter more over fewer servers, so that
+//! the simulation is the harder case. What a few cells do not show is a mean over servers that the aggregator
+//! never sends to: [`Workload::unused_servers`] adds such servers. The servers of several cells that are cold
+//! at once are further samples of the same: [`Simulation::cold_cells`].
 //!
-//! The names that the module's interface has for queries and parts are made in [`query_id`] and [`part_id`], and read in
-//! [`parts_of`] and [`number_of`] alone.
+//! The ids of queries and parts are made in [`query_id`] and [`part_id`], and read in [`part_numbers`] and
+//! [`query_number`] only.
 #![allow(dead_code)]
 
 use crate::common::{class, id, member, ring};
@@ -20,108 +21,111 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-/// What queries and servers are like. Times in milliseconds.
+/// Queries and servers of a simulation. Times in milliseconds.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct Workload {
     /// Work of a part, and of the call that carries it.
-    pub part: Ms,
-    pub call: Ms,
+    pub part_work: Ms,
+    pub call_work: Ms,
     pub batch: usize,
-    /// Parts that a server works on at once.
+    /// Number of parts that a server works on at once.
     pub cores: usize,
-    /// Servers of each cell.
+    /// Number of servers of each cell.
     pub holders: Vec<usize>,
-    /// Parts of a query; one for each cell first.
+    /// Number of parts of a query. The first ones are for one cell each.
     pub parts: usize,
     pub aim: Ms,
-    /// On the way to a server and back.
-    pub way: Ms,
-    /// Share of what all servers can do that is asked of them before the start.
+    /// Network time of an attempt, to the server and back together.
+    pub network_time: Ms,
+    /// Share of the capacity of all servers that is requested before the start.
     pub load: f64,
-    /// Warm servers in the list that no query wants.
-    pub unasked: usize,
+    /// Number of warm servers in the list that no query needs.
+    pub unused_servers: usize,
 }
 
-/// When aggregators hear of the start.
+/// When aggregators learn of the start of the cold servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Moment {
-    /// All have run for a while, and hear of it at once.
-    Heard,
-    /// They hear of it over so many milliseconds, and send as before until then.
-    Spread(Ms),
-    /// All start with it.
-    Fresh,
-    /// They start over so many milliseconds after it.
-    Restarted(Ms),
+pub enum Notification {
+    /// All have run for a while, and are notified at the start.
+    AtOnce,
+    /// They are notified over this many milliseconds after the start, and send as before until then.
+    Over(Ms),
+    /// All start at the same time as the cold servers.
+    StartTogether,
+    /// They start over this many milliseconds after the cold servers.
+    StartOver(Ms),
 }
 
 #[derive(Clone, Debug)]
-pub struct Play {
-    pub shape: Shape,
+pub struct Simulation {
+    pub workload: Workload,
     pub rule: ColdRule,
     pub aggregators: usize,
-    /// How many of them have queries; the others have none. 0: all.
-    pub asking: usize,
+    /// Number of aggregators that receive queries; 0 means all.
+    pub active: usize,
     /// Shares of the traffic fall with the rank of an aggregator by this power.
     pub skew: f64,
-    pub moment: Moment,
-    /// From the start on the traffic is so many times what it was before.
+    pub notification: Notification,
+    /// Factor of the traffic from the start on.
     pub surge: f64,
-    /// Whether the other servers of the cells with a cold one go in the same moment.
-    pub alone: bool,
-    /// In so many cells, from the first on, one server is replaced by a cold one at the start.
+    /// Whether the other servers of the cells with a cold one leave at the start.
+    pub others_leave: bool,
+    /// Number of cells, from the first on, in which one server is replaced by a cold one at the start.
     pub cold_cells: usize,
-    /// Least share of the parts' weight for an answer; 1: all are needed.
+    /// Minimum share of the parts' weight for an answer; 1 means that all are needed.
     pub floor: f64,
-    /// So long before the start aggregators have run, where they have.
-    pub run_in: Ms,
-    /// So long after it the play ends.
-    pub lasts: Ms,
+    /// Time that aggregators which started earlier have run before the start.
+    pub warm_up: Ms,
+    /// Time from the start to the end of the simulation.
+    pub duration: Ms,
     pub seed: u64,
 }
 
-/// What came to a cold server: when after its start, whether its sender had been told, and its work.
-pub type Came = (Ms, bool, Ms);
+/// An attempt that reached a cold server: when after its start, whether its sender had been notified, and its
+/// work.
+pub type Arrival = (Ms, bool, Ms);
 
-/// How queries that came after the start ended.
+/// Numbers of queries that arrived after the start, by how they ended.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ends {
-    pub asked: usize,
+pub struct QueryCounts {
+    pub total: usize,
     pub in_time: usize,
-    /// Of these, with a part left out.
+    /// Those in time whose answer lacked a part.
     pub in_part: usize,
     pub late: usize,
-    /// Refused as they came.
+    /// Refused on arrival.
     pub on_arrival: usize,
-    /// Unserved, with a part that went to no server.
+    /// Unserved, with a part that was sent to no server.
     pub unsent: usize,
-    /// Unserved, though all parts went out.
+    /// Unserved, although all parts were sent.
     pub unanswered: usize,
 }
 
-/// What a play showed.
+/// Results of a simulation.
 #[derive(Debug)]
-pub struct Day {
-    /// Of each cold server, by time.
-    pub came: Vec<Vec<Came>>,
-    pub ends: Ends,
-    /// By second after the start: asked, and served in time.
+pub struct Results {
+    /// By cold server, in the order of time.
+    pub arrivals: Vec<Vec<Arrival>>,
+    pub counts: QueryCounts,
+    /// By second after the start: number of queries that arrived, and of those served in time.
     pub by_second: BTreeMap<u64, (usize, usize)>,
 }
 
-struct Chance(Pcg64Mcg);
+/// Seeded random numbers.
+struct Random(Pcg64Mcg);
 
-impl Chance {
-    fn random(&mut self) -> f64 {
+impl Random {
+    /// Uniform from 0 to below 1.
+    fn uniform(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
-    /// Until the next of events at this rate a millisecond.
+    /// Random time in milliseconds until the next of events that occur at this rate per millisecond.
     fn wait(&mut self, rate: f64) -> Ms {
-        -(1.0 - self.random()).ln() / rate
+        -(1.0 - self.uniform()).ln() / rate
     }
 }
 
-// ---- names: the one place that knows how the module's interface names queries and parts
+// ---- ids of queries and parts
 
 fn query_id(query: u64) -> RequestId {
     id(&query.to_string())
@@ -131,25 +135,25 @@
     id(&format!("{query}.{part}"))
 }
 
-/// The name that an id shows, whatever it is made of.
+/// The name that an id was made from, read from its debug format.
 fn name_of(id: &RequestId) -> String {
     let shown = format!("{id:?}");
     shown.split('"').nth(1).unwrap_or_else(|| panic!("no name in {shown}")).to_owned()
 }
 
-fn number_of(query: &RequestId) -> u64 {
+fn query_number(query: &RequestId) -> u64 {
     name_of(query).parse().unwrap()
 }
 
-fn parts_of(part: &RequestId) -> (u64, usize) {
+fn part_numbers(part: &RequestId) -> (u64, usize) {
     let name = name_of(part);
     let (query, part) = name.split_once('.').unwrap();
     (query.parse().unwrap(), part.parse().unwrap())
 }
 
-// ---- the play
+// ---- the simulation
 
-/// A moment of the play, in nanoseconds, so that it has an order.
+/// A time of the simulation in nanoseconds, as an ordered type.
 type Nanos = u64;
 
 fn nanos(at: Ms) -> Nanos {
@@ -157,12 +161,13 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Next {
-    /// An aggregator's first list.
-    Born,
-    /// The news of the start.
-    Told,
-    Ask,
+enum Step {
+    /// An aggregator starts and gets its first list.
+    Started,
+    /// An aggregator is notified of the start of the cold servers.
+    Notified,
+    /// A query arrives.
+    Query,
     Turn,
     Ended {
         query: u64,
@@ -172,216 +177,229 @@
     },
 }
 
-/// The outcomes that occur here, by number.
+/// The outcomes that occur here, by the number in [`Step::Ended`].
 const OUTCOMES: [Outcome; 5] =
     [Outcome::Served, Outcome::Full, Outcome::TimedOut, Outcome::NoConnection, Outcome::ConnectionLost];
 
 struct Server {
-    /// When each of its cores is free.
-    free: BinaryHeap<Reverse<Nanos>>,
-    /// Its place among the cold ones.
+    /// When each of its cores becomes free.
+    core_free_at: BinaryHeap<Reverse<Nanos>>,
+    /// Its position among the cold servers; `None` if it is warm throughout.
     cold: Option<usize>,
-    /// Whether it goes at the start.
-    goes: bool,
+    /// Whether it leaves at the start.
+    leaves: bool,
 }
 
 struct Broker {
-    a: Aggregator,
-    chance: Chance,
+    aggregator: Aggregator,
+    random: Random,
+    /// Queries per millisecond before the start.
     rate: f64,
-    told: bool,
+    notified: bool,
     inbox: Vec<Event>,
     last_turn: Ms,
     turn_at: Nanos,
     wake_at: Nanos,
-    asked: u64,
-    /// Attempts that are out: when they were sent.
-    out: HashMap<(u64, usize, u32), Ms>,
-    queries: HashMap<u64, Asked>,
+    queries_received: u64,
+    /// When each attempt in flight was sent, by query, part and number of the attempt.
+    in_flight: HashMap<(u64, usize, u32), Ms>,
+    queries: HashMap<u64, OpenQuery>,
 }
 
-struct Asked {
-    at: Ms,
-    /// Attempts by part.
-    tries: Vec<u32>,
+struct OpenQuery {
+    arrived: Ms,
+    /// Number of attempts by part.
+    attempts: Vec<u32>,
 }
 
-impl Play {
-    fn request(&self) -> Ms {
-        self.shape.part + self.shape.call
+impl Simulation {
+    /// Work of a request that carries one part.
+    fn request_work(&self) -> Ms {
+        self.workload.part_work + self.workload.call_work
     }
 
-    /// What a server can do at this age, of what it can once warm.
+    /// Capacity of a server at this age, as a share of its capacity once it is warm.
     fn capacity(&self, age: Ms) -> f64 {
         self.rule.from + (1.0 - self.rule.from) * (age / self.rule.warm_after).clamp(0.0, 1.0)
     }
 
     /// When the cold servers start.
     fn start(&self) -> Ms {
-        if matches!(self.moment, Moment::Heard | Moment::Spread(_)) { self.run_in } else { 0.0 }
+        if matches!(self.notification, Notification::AtOnce | Notification::Over(_)) {
+            self.warm_up
+        } else {
+            0.0
+        }
     }
 
-    /// Parts a second at one server of a usual cell, from one aggregator of many that are alike.
+    /// Parts per second that one aggregator sends to one server, if all cells and all aggregators are alike.
     pub fn pair_rate(&self) -> f64 {
-        let asking = if self.asking == 0 { self.aggregators } else { self.asking };
-        self.shape.load * self.shape.cores as f64 * 1000.0 / self.request() / asking as f64
+        let active = if self.active == 0 { self.aggregators } else { self.active };
+        self.workload.load * self.workload.cores as f64 * 1000.0 / self.request_work() / active as f64
     }
 
     fn settings(&self) -> Settings {
-        let aim = self.shape.aim;
-        let cells = self.shape.holders.len() + usize::from(self.shape.unasked > 0);
+        let aim = self.workload.aim;
+        let cells = self.workload.holders.len() + usize::from(self.workload.unused_servers > 0);
         Settings {
             aggregators: self.aggregators,
             classes: vec![Class { aim, give_up: 4.0 * aim, floor: self.floor, ..class() }],
             cells,
             reach: 1,
-            shards: cells * self.shape.parts.div_ceil(self.shape.holders.len()),
-            batch: self.shape.batch,
-            call_work: self.shape.call,
+            shards: cells * self.workload.parts.div_ceil(self.workload.holders.len()),
+            batch: self.workload.batch,
+            call_work: self.workload.call_work,
             cold: self.rule,
             second_copies: false,
             ..ring()
         }
     }
 
-    pub fn run(&self) -> Day {
+    pub fn run(&self) -> Results {
         Fleet::new(self).run()
     }
 
-    /// The largest share of the bound that a window reached: N requests of mean work and 2 sqrt(N) + 2, where N is what the
-    /// settings allow in a window by what the server can do when that begins. Of all that came, or of one and a half times
-    /// what came from those that had been told, where that is less: no aggregator can heed what it was not told.
-    pub fn worst(&self, came: &[Came]) -> f64 {
+    /// The largest share of the bound that any window reached. The bound is N + 2 sqrt(N) + 2 requests of
+    /// mean work, where N is the number that the settings allow in a window by the server's capacity at its
+    /// beginning. What counts is all work that arrived, or one and a half times what arrived from aggregators
+    /// that had been notified, whichever is less: no aggregator can heed a start that it was not notified of.
+    pub fn worst_window(&self, arrivals: &[Arrival]) -> f64 {
         let fall = self.rule.fall_after;
-        let (mut from, mut worst) = (0, 0.0f64);
-        let (mut all, mut told) = (0.0, 0.0);
-        for (at, by_told, work) in came {
+        let (mut first, mut worst) = (0, 0.0f64);
+        let (mut all, mut from_notified) = (0.0, 0.0);
+        for (at, notified, work) in arrivals {
             all += work;
-            told += if *by_told { *work } else { 0.0 };
-            while came[from].0 <= at - fall {
-                all -= came[from].2;
-                told -= if came[from].1 { came[from].2 } else { 0.0 };
-                from += 1;
+            from_notified += if *notified { *work } else { 0.0 };
+            while arrivals[first].0 <= at - fall {
+                all -= arrivals[first].2;
+                from_notified -= if arrivals[first].1 { arrivals[first].2 } else { 0.0 };
+                first += 1;
             }
-            let can = self.capacity(at - fall) * self.shape.cores as f64;
-            let n = self.rule.fall_multiple * can * fall / self.request();
-            worst = worst.max(f64::min(all, 1.5 * told) / self.request() / (n + 2.0 * n.sqrt() + 2.0));
+            let capacity = self.capacity(at - fall) * self.workload.cores as f64;
+            let n = self.rule.fall_multiple * capacity * fall / self.request_work();
+            worst = worst
+                .max(f64::min(all, 1.5 * from_notified) / self.request_work() / (n + 2.0 * n.sqrt() + 2.0));
         }
         worst
     }
 
-    /// Work sent by those that had been told in the first half of the play, in what the server can do then.
-    pub fn filled(&self, came: &[Came]) -> f64 {
-        let half = self.lasts / 2.0;
-        let work: f64 = came.iter().filter(|c| c.0 < half && c.1).map(|c| c.2).sum();
-        work / (half * self.shape.cores as f64 * (self.capacity(0.0) + self.capacity(half)) / 2.0)
+    /// Work that arrived from notified aggregators in the first half of the simulation, as a share of the
+    /// server's capacity.
+    pub fn utilization(&self, arrivals: &[Arrival]) -> f64 {
+        let half = self.duration / 2.0;
+        let work: f64 = arrivals.iter().filter(|c| c.0 < half && c.1).map(|c| c.2).sum();
+        work / (half * self.workload.cores as f64 * (self.capacity(0.0) + self.capacity(half)) / 2.0)
     }
 
-    /// The worst window over all cold servers, and how full they were, all together.
-    pub fn cold(&self, day: &Day) -> (f64, f64) {
-        let worst = day.came.iter().map(|came| self.worst(came)).fold(0.0, f64::max);
-        let filled = day.came.iter().map(|came| self.filled(came)).sum::<f64>();
-        (worst, filled / day.came.len().max(1) as f64)
+    /// The worst window over all cold servers, and their mean utilization.
+    pub fn cold(&self, results: &Results) -> (f64, f64) {
+        let worst = results.arrivals.iter().map(|arrivals| self.worst_window(arrivals)).fold(0.0, f64::max);
+        let utilization = results.arrivals.iter().map(|arrivals| self.utilization(arrivals)).sum::<f64>();
+        (worst, utilization / results.arrivals.len().max(1) as f64)
     }
 }
 
 struct Fleet<'a> {
-    play: &'a Play,
+    simulation: &'a Simulation,
     servers: Vec<Server>,
-    names: HashMap<NodeId, usize>,
+    by_name: HashMap<NodeId, usize>,
     brokers: Vec<Broker>,
-    next: BinaryHeap<Reverse<(Nanos, usize, Next)>>,
+    /// Steps to come: when, at which aggregator, and what.
+    steps: BinaryHeap<Reverse<(Nanos, usize, Step)>>,
     start: Ms,
     end: Ms,
-    day: Day,
+    results: Results,
 }
 
 impl<'a> Fleet<'a> {
-    fn new(play: &'a Play) -> Self {
-        let shape = &play.shape;
-        let (start, end) = (play.start(), play.start() + play.lasts);
-        let (mut servers, mut names) = (Vec::new(), HashMap::new());
-        for (cell, holders) in shape.holders.iter().enumerate() {
+    fn new(simulation: &'a Simulation) -> Self {
+        let workload = &simulation.workload;
+        let (start, end) = (simulation.start(), simulation.start() + simulation.duration);
+        let (mut servers, mut by_name) = (Vec::new(), HashMap::new());
+        for (cell, holders) in workload.holders.iter().enumerate() {
             for n in 0..*holders {
-                let cold = (n == 0 && cell < play.cold_cells).then_some(cell);
-                let goes = n > 0 && cell < play.cold_cells && play.alone;
-                let free = (0..shape.cores).map(|_| Reverse(0)).collect();
-                names.insert(crate::common::node(&format!("c{cell}n{n}")), servers.len());
-                servers.push(Server { free, cold, goes });
+                let cold = (n == 0 && cell < simulation.cold_cells).then_some(cell);
+                let leaves = n > 0 && cell < simulation.cold_cells && simulation.others_leave;
+                let core_free_at = (0..workload.cores).map(|_| Reverse(0)).collect();
+                by_name.insert(crate::common::node(&format!("c{cell}n{n}")), servers.len());
+                servers.push(Server { core_free_at, cold, leaves });
             }
         }
-        let asking = if play.asking == 0 { play.aggregators } else { play.asking };
-        let weight = |rank: usize| if rank < asking { ((rank + 1) as f64).powf(-play.skew) } else { 0.0 };
-        let all: f64 = (0..play.aggregators).map(weight).sum();
-        let parts_per_ms = shape.load * (servers.len() * shape.cores) as f64 / play.request();
-        let mut next = BinaryHeap::new();
-        let brokers = (0..play.aggregators).map(|rank| {
-            let seed = play.seed ^ ((977 * rank as u64 + play.aggregators as u64) << 8);
-            let mut chance = Chance(Pcg64Mcg::seed_from_u64(seed));
-            let (born, hears) = match play.moment {
-                // They begin their seconds at moments of their own, but those that start together.
-                Moment::Heard => (1000.0 * chance.random(), start),
-                Moment::Spread(over) => (1000.0 * chance.random(), start + over * chance.random()),
-                Moment::Fresh => (0.0, f64::INFINITY),
-                Moment::Restarted(over) => (over * chance.random(), f64::INFINITY),
+        let active = if simulation.active == 0 { simulation.aggregators } else { simulation.active };
+        let weight =
+            |rank: usize| if rank < active { ((rank + 1) as f64).powf(-simulation.skew) } else { 0.0 };
+        let total_weight: f64 = (0..simulation.aggregators).map(weight).sum();
+        let parts_per_ms =
+            workload.load * (servers.len() * workload.cores) as f64 / simulation.request_work();
+        let mut steps = BinaryHeap::new();
+        let brokers = (0..simulation.aggregators).map(|rank| {
+            let seed = simulation.seed ^ ((977 * rank as u64 + simulation.aggregators as u64) << 8);
+            let mut random = Random(Pcg64Mcg::seed_from_u64(seed));
+            let (started, notified) = match simulation.notification {
+                // Aggregators begin their one-second intervals at different times, unless they start
+                // together.
+                Notification::AtOnce => (1000.0 * random.uniform(), start),
+                Notification::Over(time) => (1000.0 * random.uniform(), start + time * random.uniform()),
+                Notification::StartTogether => (0.0, f64::INFINITY),
+                Notification::StartOver(time) => (time * random.uniform(), f64::INFINITY),
             };
-            next.push(Reverse((nanos(born), rank, Next::Born)));
-            if hears < end {
-                next.push(Reverse((nanos(hears), rank, Next::Told)));
+            steps.push(Reverse((nanos(started), rank, Step::Started)));
+            if notified < end {
+                steps.push(Reverse((nanos(notified), rank, Step::Notified)));
             }
             Broker {
-                a: Aggregator::new(play.settings(), play.seed ^ (31 + rank as u64)),
-                chance,
-                rate: parts_per_ms / shape.parts as f64 * weight(rank) / all,
-                told: hears.is_infinite(),
+                aggregator: Aggregator::new(simulation.settings(), simulation.seed ^ (31 + rank as u64)),
+                random,
+                rate: parts_per_ms / workload.parts as f64 * weight(rank) / total_weight,
+                notified: notified.is_infinite(),
                 inbox: Vec::new(),
                 last_turn: f64::NEG_INFINITY,
                 turn_at: Nanos::MAX,
                 wake_at: Nanos::MAX,
-                asked: 0,
-                out: HashMap::new(),
+                queries_received: 0,
+                in_flight: HashMap::new(),
                 queries: HashMap::new(),
             }
         });
         let brokers = brokers.collect();
-        let came = vec![Vec::new(); play.cold_cells];
-        let day = Day { came, ends: Ends::default(), by_second: BTreeMap::new() };
-        Fleet { play, servers, names, brokers, next, start, end, day }
+        let arrivals = vec![Vec::new(); simulation.cold_cells];
+        let results = Results { arrivals, counts: QueryCounts::default(), by_second: BTreeMap::new() };
+        Fleet { simulation, servers, by_name, brokers, steps, start, end, results }
     }
 
-    fn run(mut self) -> Day {
+    fn run(mut self) -> Results {
         let end = nanos(self.end);
-        while let Some(Reverse((at, b, next))) = self.next.pop() {
+        while let Some(Reverse((at, index, step))) = self.steps.pop() {
             if at >= end {
                 break;
             }
             let now = at as f64 / 1e6;
-            match next {
-                Next::Born => {
-                    let members = self.list(self.brokers[b].told);
-                    self.hear(b, now, Event::List { kind: ListKind::Complete, members });
-                    self.ask_next(b, now);
+            match step {
+                Step::Started => {
+                    let members = self.list(self.brokers[index].notified);
+                    self.deliver(index, now, Event::List { kind: ListKind::Complete, members });
+                    self.schedule_query(index, now);
                 }
-                Next::Told => {
-                    self.brokers[b].told = true;
-                    let members = self.news();
-                    self.hear(b, now, Event::List { kind: ListKind::Changes, members });
+                Step::Notified => {
+                    self.brokers[index].notified = true;
+                    let members = self.changed_members();
+                    self.deliver(index, now, Event::List { kind: ListKind::Changes, members });
                 }
-                Next::Ask => {
-                    self.ask(b, now);
-                    self.ask_next(b, now);
+                Step::Query => {
+                    self.add_query(index, now);
+                    self.schedule_query(index, now);
                 }
-                Next::Turn => {
-                    if self.brokers[b].turn_at == at {
-                        self.turn(b, at);
+                Step::Turn => {
+                    if self.brokers[index].turn_at == at {
+                        self.turn(index, at);
                     }
                 }
-                Next::Ended { query, part, attempt, outcome } => {
-                    if let Some(sent) = self.brokers[b].out.remove(&(query, part, attempt)) {
+                Step::Ended { query, part, attempt, outcome } => {
+                    if let Some(sent) = self.brokers[index].in_flight.remove(&(query, part, attempt)) {
                         let outcome = OUTCOMES[outcome as usize];
                         let part = part_id(query, part);
-                        self.hear(
-                            b,
+                        self.deliver(
+                            index,
                             now,
                             Event::Ended { part, attempt, outcome, elapsed: now - sent, load: None },
                         );
@@ -389,55 +407,63 @@
                 }
             }
         }
-        self.day
+        self.results
     }
 
-    fn list(&self, after: bool) -> Vec<Member> {
-        let mut all: Vec<Member> = Vec::new();
-        for (cell, holders) in self.play.shape.holders.iter().enumerate() {
-            all.extend((0..*holders).map(|n| member(&format!("c{cell}n{n}"), cell)));
+    /// The whole list of servers, before or after the start.
+    fn list(&self, after_start: bool) -> Vec<Member> {
+        let mut members: Vec<Member> = Vec::new();
+        for (cell, holders) in self.simulation.workload.holders.iter().enumerate() {
+            members.extend((0..*holders).map(|n| member(&format!("c{cell}n{n}"), cell)));
         }
-        let unasked = self.play.shape.holders.len();
-        all.extend((0..self.play.shape.unasked).map(|n| member(&format!("u{n}"), unasked)));
-        if after {
-            let news = self.news();
-            all.retain(|m| news.iter().all(|n| n.node != m.node));
-            all.extend(news.into_iter().filter(|n| n.state == NodeState::Serving));
+        let unused_cell = self.simulation.workload.holders.len();
+        members.extend(
+            (0..self.simulation.workload.unused_servers).map(|n| member(&format!("u{n}"), unused_cell)),
+        );
+        if after_start {
+            let changed = self.changed_members();
+            members.retain(|m| changed.iter().all(|n| n.node != m.node));
+            members.extend(changed.into_iter().filter(|n| n.state == NodeState::Serving));
         }
-        all
+        members
     }
 
-    /// What the list says once the servers have started.
-    fn news(&self) -> Vec<Member> {
-        let mut news = Vec::new();
-        for (cell, holders) in self.play.shape.holders.iter().enumerate().take(self.play.cold_cells) {
-            news.push(Member { started: Some(self.start), ..member(&format!("c{cell}n0"), cell) });
-            if self.play.alone {
+    /// The entries of the list that change at the start.
+    fn changed_members(&self) -> Vec<Member> {
+        let mut changed = Vec::new();
+        for (cell, holders) in
+            self.simulation.workload.holders.iter().enumerate().take(self.simulation.cold_cells)
+        {
+            changed.push(Member { started: Some(self.start), ..member(&format!("c{cell}n0"), cell) });
+            if self.simulation.others_leave {
                 let gone =
                     |n: usize| Member { state: NodeState::Gone, ..member(&format!("c{cell}n{n}"), cell) };
-                news.extend((1..*holders).map(gone));
+                changed.extend((1..*holders).map(gone));
             }
         }
-        news
+        changed
     }
 
-    fn ask_next(&mut self, b: usize, now: Ms) {
-        let broker = &mut self.brokers[b];
-        let rate = if now >= self.start { broker.rate * self.play.surge } else { broker.rate };
+    /// Schedules the arrival of the next query at an aggregator.
+    fn schedule_query(&mut self, index: usize, now: Ms) {
+        let broker = &mut self.brokers[index];
+        let rate = if now >= self.start { broker.rate * self.simulation.surge } else { broker.rate };
         if rate > 0.0 {
-            let at = now + broker.chance.wait(rate);
-            self.next.push(Reverse((nanos(at), b, Next::Ask)));
+            let at = now + broker.random.wait(rate);
+            self.steps.push(Reverse((nanos(at), index, Step::Query)));
         }
     }
 
-    fn ask(&mut self, b: usize, now: Ms) {
-        let shape = &self.play.shape;
-        let (cells, all) = (shape.holders.len(), shape.holders.len() + usize::from(shape.unasked > 0));
-        let broker = &mut self.brokers[b];
-        let number = broker.asked;
-        broker.asked += 1;
-        broker.queries.insert(number, Asked { at: now, tries: vec![0; shape.parts] });
-        let give_up_at = now + 4.0 * shape.aim;
+    /// A query arrives at an aggregator.
+    fn add_query(&mut self, index: usize, now: Ms) {
+        let workload = &self.simulation.workload;
+        let (cells, all_cells) =
+            (workload.holders.len(), workload.holders.len() + usize::from(workload.unused_servers > 0));
+        let broker = &mut self.brokers[index];
+        let number = broker.queries_received;
+        broker.queries_received += 1;
+        broker.queries.insert(number, OpenQuery { arrived: now, attempts: vec![0; workload.parts] });
+        let give_up_at = now + 4.0 * workload.aim;
         let mut events = vec![Event::Query(Query {
             id: query_id(number),
             group: number,
@@ -448,137 +474,147 @@
             max_attempts: None,
             again: false,
         })];
-        let first = (broker.chance.random() * cells as f64) as usize;
-        events.extend((0..shape.parts).map(|k| {
-            let shard = (first + k) % cells + all * (k / cells);
-            let (id, weight) = (part_id(number, k), 1.0 / shape.parts as f64);
+        let first = (broker.random.uniform() * cells as f64) as usize;
+        events.extend((0..workload.parts).map(|k| {
+            let shard = (first + k) % cells + all_cells * (k / cells);
+            let (id, weight) = (part_id(number, k), 1.0 / workload.parts as f64);
             Event::Part(Part { id, group: number, shard, weight, work_hint: None })
         }));
         for event in events {
-            self.hear(b, now, event);
+            self.deliver(index, now, event);
         }
     }
 
-    /// Something comes to an aggregator: its next turn is due.
-    fn hear(&mut self, b: usize, now: Ms, event: Event) {
-        let broker = &mut self.brokers[b];
+    /// Delivers an event to an aggregator, whose next turn is then due as soon as a tick has passed since its
+    /// last one.
+    fn deliver(&mut self, index: usize, now: Ms, event: Event) {
+        let broker = &mut self.brokers[index];
         broker.inbox.push(event);
         let at = now.max(broker.last_turn + ring().tick);
-        self.due(b, nanos(at));
+        self.set_turn(index, nanos(at));
     }
 
-    fn due(&mut self, b: usize, at: Nanos) {
-        let broker = &mut self.brokers[b];
+    /// Makes the next turn of an aggregator due at this time, unless it is due earlier.
+    fn set_turn(&mut self, index: usize, at: Nanos) {
+        let broker = &mut self.brokers[index];
         if at < broker.turn_at {
             broker.turn_at = at;
-            self.next.push(Reverse((at, b, Next::Turn)));
+            self.steps.push(Reverse((at, index, Step::Turn)));
         }
     }
 
-    fn turn(&mut self, b: usize, at: Nanos) {
+    /// One turn of an aggregator: a batch, and its actions.
+    fn turn(&mut self, index: usize, at: Nanos) {
         let now = at as f64 / 1e6;
-        let broker = &mut self.brokers[b];
+        let broker = &mut self.brokers[index];
         (broker.turn_at, broker.last_turn) = (Nanos::MAX, now);
         let mut events = std::mem::take(&mut broker.inbox);
         if at >= broker.wake_at {
             broker.wake_at = Nanos::MAX;
             events.push(Event::Woken);
         }
-        let mut opened: HashMap<usize, usize> = HashMap::new();
-        for action in broker.a.on_batch(now, events) {
+        let mut sent_in_batch: HashMap<usize, usize> = HashMap::new();
+        for action in broker.aggregator.on_batch(now, events) {
             match action {
                 Action::Send { part, node, within } => {
-                    let server = self.names[&node];
-                    let bundled = opened.entry(server).or_default();
-                    let opens = bundled.is_multiple_of(self.play.shape.batch);
+                    let server = self.by_name[&node];
+                    let bundled = sent_in_batch.entry(server).or_default();
+                    let opens_call = bundled.is_multiple_of(self.simulation.workload.batch);
                     *bundled += 1;
-                    self.send(b, now, parts_of(&part), server, within, opens);
+                    self.send(index, now, part_numbers(&part), server, within, opens_call);
                 }
                 Action::Cancel { part, attempt } => {
-                    let (query, k) = parts_of(&part);
-                    if let Some(sent) = self.brokers[b].out.remove(&(query, k, attempt)) {
+                    let (query, k) = part_numbers(&part);
+                    if let Some(sent) = self.brokers[index].in_flight.remove(&(query, k, attempt)) {
                         let (elapsed, outcome) = (now - sent, Outcome::Cancelled);
-                        self.hear(b, now, Event::Ended { part, attempt, outcome, elapsed, load: None });
+                        self.deliver(
+                            index,
+                            now,
+                            Event::Ended { part, attempt, outcome, elapsed, load: None },
+                        );
                     }
                 }
-                Action::Answer { query, whole } => self.end(b, now, number_of(&query), Some(whole)),
+                Action::Answer { query, whole } => self.end(index, now, query_number(&query), Some(whole)),
                 Action::Refuse { query, .. } | Action::Fail { query } => {
-                    self.end(b, now, number_of(&query), None)
+                    self.end(index, now, query_number(&query), None)
                 }
-                Action::Wake { after } => self.brokers[b].wake_at = nanos(now + after),
+                Action::Wake { after } => self.brokers[index].wake_at = nanos(now + after),
                 Action::Watch => {}
             }
         }
-        self.due(b, self.brokers[b].wake_at);
+        self.set_turn(index, self.brokers[index].wake_at);
     }
 
+    /// An attempt reaches a server, which answers it once one of its cores has worked on it.
     fn send(
         &mut self,
-        b: usize,
+        index: usize,
         now: Ms,
         (query, part): (u64, usize),
         server: usize,
         within: Option<Ms>,
-        opens: bool,
+        opens_call: bool,
     ) {
-        let (play, shape) = (self.play, &self.play.shape);
-        let work = shape.part + if opens { shape.call } else { 0.0 };
-        let broker = &mut self.brokers[b];
-        let Some(asked) = broker.queries.get_mut(&query) else { return };
-        let attempt = asked.tries[part];
-        asked.tries[part] += 1;
-        broker.out.insert((query, part, attempt), now);
-        let s = &mut self.servers[server];
-        let after = now >= self.start;
-        if let Some(cold) = s.cold.filter(|_| after) {
-            self.day.came[cold].push((now - self.start, broker.told, work));
+        let (simulation, workload) = (self.simulation, &self.simulation.workload);
+        let work = workload.part_work + if opens_call { workload.call_work } else { 0.0 };
+        let broker = &mut self.brokers[index];
+        let Some(open) = broker.queries.get_mut(&query) else { return };
+        let attempt = open.attempts[part];
+        open.attempts[part] += 1;
+        broker.in_flight.insert((query, part, attempt), now);
+        let target = &mut self.servers[server];
+        let started = now >= self.start;
+        if let Some(cold) = target.cold.filter(|_| started) {
+            self.results.arrivals[cold].push((now - self.start, broker.notified, work));
         }
-        let (at, outcome) = if s.goes && after {
+        let (at, outcome) = if target.leaves && started {
             (now + 1.0, 3)
         } else {
-            let free = s.free.peek().map_or(0, |f| f.0) as f64 / 1e6;
-            // A new process has none of the queue of the one before.
-            let begins = if s.cold.is_some() && after && free < self.start { now } else { free.max(now) };
-            let age = if s.cold.is_some() && after { begins - self.start } else { f64::INFINITY };
-            let done = begins + work / play.capacity(age);
-            if begins - now > shape.aim {
-                (now + shape.way, 1)
+            let free_at = target.core_free_at.peek().map_or(0, |f| f.0) as f64 / 1e6;
+            // The new process does not inherit the queue of the one before it.
+            let begins =
+                if target.cold.is_some() && started && free_at < self.start { now } else { free_at.max(now) };
+            let age = if target.cold.is_some() && started { begins - self.start } else { f64::INFINITY };
+            let done = begins + work / simulation.capacity(age);
+            if begins - now > workload.aim {
+                (now + workload.network_time, 1)
             } else {
-                s.free.pop();
-                s.free.push(Reverse(nanos(done)));
-                (done + shape.way, 0)
+                target.core_free_at.pop();
+                target.core_free_at.push(Reverse(nanos(done)));
+                (done + workload.network_time, 0)
             }
         };
-        let restarts = |t: Ms| (s.cold.is_some() || s.goes) && !after && t > self.start;
-        let late = within.map_or(f64::INFINITY, |within| now + within);
-        let (at, outcome) = match (restarts(at), late < at) {
-            (true, _) if self.start < late => (self.start + 1.0, 4),
-            (_, true) => (late, 2),
+        let restarts = |t: Ms| (target.cold.is_some() || target.leaves) && !started && t > self.start;
+        let time_out_at = within.map_or(f64::INFINITY, |within| now + within);
+        let (at, outcome) = match (restarts(at), time_out_at < at) {
+            (true, _) if self.start < time_out_at => (self.start + 1.0, 4),
+            (_, true) => (time_out_at, 2),
             _ => (at, outcome),
         };
-        self.next.push(Reverse((nanos(at), b, Next::Ended { query, part, attempt, outcome })));
+        self.steps.push(Reverse((nanos(at), index, Step::Ended { query, part, attempt, outcome })));
     }
 
-    fn end(&mut self, b: usize, now: Ms, query: u64, answered: Option<bool>) {
-        let Some(asked) = self.brokers[b].queries.remove(&query) else { return };
-        if asked.at < self.start {
+    /// Counts a query that has ended; `answered` holds whether its answer was whole, `None` if it has none.
+    fn end(&mut self, index: usize, now: Ms, query: u64, answered: Option<bool>) {
+        let Some(open) = self.brokers[index].queries.remove(&query) else { return };
+        if open.arrived < self.start {
             return;
         }
-        let ends = &mut self.day.ends;
-        ends.asked += 1;
-        let second = self.day.by_second.entry(((asked.at - self.start) / 1000.0) as u64).or_default();
+        let counts = &mut self.results.counts;
+        counts.total += 1;
+        let second = self.results.by_second.entry(((open.arrived - self.start) / 1000.0) as u64).or_default();
         second.0 += 1;
-        let unsent = asked.tries.contains(&0);
+        let unsent = open.attempts.contains(&0);
         match answered {
-            Some(whole) if now - asked.at <= self.play.shape.aim => {
-                ends.in_time += 1;
-                ends.in_part += usize::from(!whole);
+            Some(whole) if now - open.arrived <= self.simulation.workload.aim => {
+                counts.in_time += 1;
+                counts.in_part += usize::from(!whole);
                 second.1 += 1;
             }
-            Some(_) => ends.late += 1,
-            None if now - asked.at <= 2.0 * ring().tick => ends.on_arrival += 1,
-            None if unsent => ends.unsent += 1,
-            None => ends.unanswered += 1,
+            Some(_) => counts.late += 1,
+            None if now - open.arrived <= 2.0 * ring().tick => counts.on_arrival += 1,
+            None if unsent => counts.unsent += 1,
+            None => counts.unanswered += 1,
         }
     }
 }
--- a/crates/brookbend/tests/module.rs
+++ b/crates/brookbend/tests/module.rs
@@ -633,7 +633,7 @@
     let mut work = 0.0;
     for seed in 0..aggregators {
         let mut s = Harness::new(set.clone(), 0);
-        s.a = Aggregator::new(set.clone(), seed as u64 * 7919 + 1);
+        s.aggregator = Aggregator::new(set.clone(), seed as u64 * 7919 + 1);
         s.step(5.0, vec![Event::List { kind: ListKind::Complete, members: vec![member("warm", 0)] }]);
         let mut ask_for = |s: &mut Harness, span: Ms| {
             let end = s.now + span;
@@ -1014,8 +1014,9 @@
         let more = s.step(20.0, vec![ended(&sent[0].0, 0, how, 20.0)]);
         s.step(5.0, sends(&more).iter().map(|t| ended(&t.0, 1, Outcome::Served, 20.0)).collect());
     }
-    let dead =
-        |s: &Harness| s.a.views(s.now).iter().any(|v| v.ejected_until.is_some_and(|until| until > s.now));
+    let dead = |s: &Harness| {
+        s.aggregator.views(s.now).iter().any(|v| v.ejected_until.is_some_and(|until| until > s.now))
+    };
     assert!(dead(&s), "one is passed over");
     let all: Vec<Vec<Action>> = (0..60).map(|k| s.ask(&format!("q{k}"), &[0])).collect();
     assert!(dead(&s), "and still is");
@@ -1037,7 +1038,7 @@
         s.step(1500.0, list(&["stays", &format!("new{n}")]));
         s.traffic(1, &[], Outcome::Served);
     }
-    assert!(s.a.servers_known() < 15, "{}", s.a.servers_known());
+    assert!(s.aggregator.servers_known() < 15, "{}", s.aggregator.servers_known());
     // An end that comes late still finds its server, and no other: the attempts are kept as they were.
     let ends = out.iter().map(|(part, _, _)| ended(part, 0, Outcome::TimedOut, 4000.0)).collect();
     s.step(1500.0, ends);
--- a/crates/brookbend/tests/schedule.rs
+++ b/crates/brookbend/tests/schedule.rs
@@ -1,5 +1,5 @@
-//! A turn that looks at what is due decides as one that looks at everything: the same actions in the same order, from the
-//! same draws, and the same knowledge of servers and classes.
+//! A turn that visits only what is due decides the same as one that visits everything: the same actions in
+//! the same order, from the same random numbers, with the same learned state of servers and classes.
 
 #[path = "common/random_day.rs"]
 mod random_day;
@@ -8,11 +8,13 @@
 use proptest::prelude::*;
 use random_day::{Day, Plan, settings};
 
-fn both(plan: Plan) -> Result<usize, String> {
-    let mut due = Aggregator::new(settings(&plan), plan.seed);
-    let mut all = Aggregator::new(settings(&plan), plan.seed);
-    all.visit_all();
-    Day::play(plan, &mut [&mut all, &mut due])
+/// Plays a day with a module that visits everything and one that visits what is due. The error is their first
+/// difference.
+fn play_both(plan: Plan) -> Result<usize, String> {
+    let mut indexed = Aggregator::new(settings(&plan), plan.seed);
+    let mut unindexed = Aggregator::new(settings(&plan), plan.seed);
+    unindexed.visit_all();
+    Day::play(plan, &mut [&mut unindexed, &mut indexed])
 }
 
 fn plans() -> impl Strategy<Value = Plan> {
@@ -38,29 +40,29 @@
     #![proptest_config(ProptestConfig { cases: 250, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_due_decides_as_everything_does(plan in plans()) {
-        prop_assert_eq!(both(plan).err(), None);
+    fn visiting_what_is_due_decides_as_visiting_everything(plan in plans()) {
+        prop_assert_eq!(play_both(plan).err(), None);
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 100, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// At any moment what is kept of the queries in hand is what counting anew gives.
+    /// After every batch the index and the running totals of the open queries equal a full recomputation.
     #[test]
-    fn what_is_kept_is_what_counting_anew_gives(plan in plans()) {
-        let mut due = Aggregator::new(settings(&plan), plan.seed);
+    fn the_index_and_the_totals_equal_a_recomputation(plan in plans()) {
+        let mut indexed = Aggregator::new(settings(&plan), plan.seed);
         let mut day = Day::new(plan);
         for _ in 0..plan.steps {
-            prop_assert_eq!(day.step(&mut [&mut due]), None);
-            prop_assert_eq!(due.find_inconsistency(), None);
+            prop_assert_eq!(day.step(&mut [&mut indexed]), None);
+            prop_assert_eq!(indexed.find_inconsistency(), None);
         }
     }
 }
 
-/// As wide as the size that is to be borne.
+/// Queries of the largest number of parts that has to be supported.
 #[test]
-fn wide_queries_are_decided_alike() {
+fn wide_queries_are_decided_the_same() {
     for seed in 0..12 {
         let plan = Plan {
             seed,
@@ -76,7 +78,7 @@
             budget: seed % 4 > 1,
             named: seed.is_multiple_of(5),
         };
-        let actions = both(plan).unwrap();
+        let actions = play_both(plan).unwrap();
         assert!(actions > 1000, "seed {seed}: {actions}");
     }
 }
--- a/crates/brookbend/tests/tail.rs
+++ b/crates/brookbend/tests/tail.rs
@@ -1,6 +1,6 @@
-//! A query of 690 parts over 1,200 servers, of which one in a hundred is slow by 200 ms, or each is once in a hundred
-//! attempts: how many further attempts that
-//! takes, where they are allowed, and what the query waits for. Time is virtual; figures are printed:
+//! Queries of 690 parts over 1,200 servers, where either one server in a hundred or one attempt in a hundred
+//! is slow by 200 ms: the number of further attempts, where they are allowed, and the time until the answer.
+//! The clock is simulated. The figures are printed:
 //!
 //! ```text
 //! cargo test -p brookbend --test tail -- --nocapture
@@ -14,14 +14,14 @@
 use brookbend::Aggregator;
 use brookbend::api::*;
 use common::{class, member, node, ring};
-use random_day::Chance;
+use random_day::Random;
 use std::collections::{BTreeMap, BTreeSet};
 
 const PARTS: usize = 690;
 const CELLS: usize = 400;
 const AIM: Ms = 75.0;
 
-/// What is slow.
+/// Whether one server in a hundred is slow, or one attempt in a hundred.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Slow {
     Servers,
@@ -29,48 +29,58 @@
 }
 use Slow::{Attempts, Servers};
 
-/// What came of a day.
+/// Results of a simulation.
 #[derive(Default, Debug)]
-struct Told {
-    /// Of each query: how long until its final answer, and the share of its parts that it was given from.
+struct Results {
+    /// By answered query: time until its final answer, and the share of its parts that were served.
     answered: Vec<(Ms, f64)>,
     unserved: usize,
-    /// When queries and parts came, and when attempts beyond a part's first went.
-    taken: Vec<Ms>,
-    extras: Vec<Ms>,
-    /// Most attempts at a part that were out at once.
-    at_once: usize,
+    /// When queries and parts arrived, and when attempts beyond a part's first were sent.
+    arrivals: Vec<Ms>,
+    extra_attempts: Vec<Ms>,
+    /// Maximum number of attempts at one part in flight at the same time.
+    max_concurrent: usize,
 }
 
-impl Told {
+impl Results {
+    /// Quantile of the times until the final answer.
     fn wait(&self, share: f64) -> Ms {
         let mut waits: Vec<Ms> = self.answered.iter().map(|a| a.0).collect();
         waits.sort_by(f64::total_cmp);
         waits.get((waits.len() as f64 * share) as usize).or(waits.last()).copied().unwrap_or(f64::NAN)
     }
 
-    /// Further attempts over first ones.
-    fn added(&self) -> f64 {
-        self.extras.len() as f64 / (self.taken.len() - self.queries()) as f64
+    /// Number of further attempts per first attempt.
+    fn extra_share(&self) -> f64 {
+        self.extra_attempts.len() as f64 / (self.arrivals.len() - self.queries()) as f64
     }
 
     fn queries(&self) -> usize {
         self.answered.len() + self.unserved
     }
 
-    /// The most by which the further attempts of a window pass what the rule allows in it; none: 0 or less.
-    fn over(&self, rule: &AttemptBudget) -> f64 {
+    /// Maximum number over all windows by which further attempts exceed the budget; 0 or less if they never
+    /// do.
+    fn max_excess(&self, rule: &AttemptBudget) -> f64 {
         let within =
-            |of: &[Ms], at: Ms| of.iter().filter(|t| **t > at - rule.span && **t <= at).count() as f64;
-        let over =
-            |at: &Ms| within(&self.extras, *at) - rule.spare - rule.per_request * within(&self.taken, *at);
-        let moments: BTreeSet<u64> = self.extras.iter().map(|at| at.to_bits()).collect();
-        moments.into_iter().map(|at| over(&f64::from_bits(at))).fold(f64::NEG_INFINITY, f64::max)
+            |times: &[Ms], at: Ms| times.iter().filter(|t| **t > at - rule.span && **t <= at).count() as f64;
+        let excess = |at: &Ms| {
+            within(&self.extra_attempts, *at) - rule.spare - rule.per_request * within(&self.arrivals, *at)
+        };
+        let times: BTreeSet<u64> = self.extra_attempts.iter().map(|at| at.to_bits()).collect();
+        times.into_iter().map(|at| excess(&f64::from_bits(at))).fold(f64::NEG_INFINITY, f64::max)
     }
 }
 
-/// So many such queries, one in each tenth of a second. `allowed`: second copies, and to call off.
-fn day(what: Slow, class: Class, allowed: (bool, bool), budget: Option<AttemptBudget>, queries: u64) -> Told {
+/// Simulates this number of queries, one every 100 ms. `allowed`: whether hedged attempts and cancelling are
+/// allowed.
+fn simulate(
+    what: Slow,
+    class: Class,
+    allowed: (bool, bool),
+    budget: Option<AttemptBudget>,
+    queries: u64,
+) -> Results {
     let (second_copies, cancel) = allowed;
     let set = Settings {
         classes: vec![Class { aim: AIM, give_up: 300.0, ..class }],
@@ -85,15 +95,15 @@
         budget,
         ..ring()
     };
-    let mut a = Aggregator::new(set, 5);
+    let mut aggregator = Aggregator::new(set, 5);
     let list = |n: usize| member(&format!("n{n:05}"), n % CELLS);
     let members = (0..CELLS * 3).map(list).collect();
     let mut events = vec![Event::List { kind: ListKind::Complete, members }];
-    // No two of a cell.
+    // At most one server of each cell is slow.
     let slow: BTreeSet<NodeId> = (0..CELLS * 3).step_by(101).map(|n| node(&format!("n{n:05}"))).collect();
-    let mut chance = Chance::new(9);
-    let (mut told, mut now, mut asked) = (Told::default(), 0.0, BTreeMap::new());
-    let mut out: BTreeMap<(RequestId, u32), (Ms, Ms, Outcome)> = BTreeMap::new();
+    let mut random = Random::new(9);
+    let (mut results, mut now, mut arrived) = (Results::default(), 0.0, BTreeMap::new());
+    let mut in_flight: BTreeMap<(RequestId, u32), (Ms, Ms, Outcome)> = BTreeMap::new();
     let mut sent: BTreeMap<RequestId, u32> = BTreeMap::new();
     let mut served: BTreeMap<u64, BTreeSet<u32>> = BTreeMap::new();
     while now < 100.0 * (queries + 4) as f64 {
@@ -103,7 +113,7 @@
             let (id, class, tenant) = (RequestId::Query(group), ClassIndex(0), TenantIndex(0));
             let max_attempts = None;
             let patience_ends = give_up_at;
-            asked.insert(group, now);
+            arrived.insert(group, now);
             let again = false;
             events.push(Event::Query(Query {
                 id,
@@ -117,44 +127,44 @@
             }));
             let weight = 1.0 / PARTS as f64;
             for part in 0..PARTS as u32 {
-                let (id, shard) = (RequestId::Part(group, part), part as usize + chance.below(2));
+                let (id, shard) = (RequestId::Part(group, part), part as usize + random.below(2));
                 events.push(Event::Part(Part { id, group, shard, weight, work_hint: None }));
             }
-            told.taken.extend(vec![now; PARTS + 1]);
+            results.arrivals.extend(vec![now; PARTS + 1]);
         }
         events.push(Event::Woken);
-        for action in a.on_batch(now, std::mem::take(&mut events)) {
+        for action in aggregator.on_batch(now, std::mem::take(&mut events)) {
             match action {
                 Action::Send { part, node, within } => {
                     let attempt = sent.entry(part.clone()).or_default();
                     if *attempt > 0 {
-                        told.extras.push(now);
+                        results.extra_attempts.push(now);
                     }
-                    let late = if what == Servers { slow.contains(&node) } else { chance.is(0.01) };
-                    let usual = chance.within(2.0, 6.0) + if late { 200.0 } else { 0.0 };
+                    let slow_attempt = if what == Servers { slow.contains(&node) } else { random.is(0.01) };
+                    let time = random.within(2.0, 6.0) + if slow_attempt { 200.0 } else { 0.0 };
                     let within = within.unwrap_or(300.0);
-                    let outcome = if usual > within { Outcome::TimedOut } else { Outcome::Served };
-                    out.insert((part.clone(), *attempt), (now, now + usual.min(within), outcome));
+                    let outcome = if time > within { Outcome::TimedOut } else { Outcome::Served };
+                    in_flight.insert((part.clone(), *attempt), (now, now + time.min(within), outcome));
                     *attempt += 1;
-                    let at_once = out.keys().filter(|(p, _)| *p == part).count();
-                    told.at_once = told.at_once.max(at_once);
+                    let concurrent = in_flight.keys().filter(|(p, _)| *p == part).count();
+                    results.max_concurrent = results.max_concurrent.max(concurrent);
                 }
                 Action::Cancel { part, attempt } => {
-                    if let Some((at, ..)) = out.remove(&(part.clone(), attempt)) {
+                    if let Some((at, ..)) = in_flight.remove(&(part.clone(), attempt)) {
                         let (outcome, elapsed) = (Outcome::Cancelled, now - at);
                         events.push(Event::Ended { part, attempt, outcome, elapsed, load: None });
                     }
                 }
-                Action::Answer { query: RequestId::Query(q), .. } => {
-                    let share = served.get(&q).map_or(0, BTreeSet::len) as f64 / PARTS as f64;
-                    told.answered.push((now - asked[&q], share));
+                Action::Answer { query: RequestId::Query(query), .. } => {
+                    let share = served.get(&query).map_or(0, BTreeSet::len) as f64 / PARTS as f64;
+                    results.answered.push((now - arrived[&query], share));
                 }
-                Action::Refuse { .. } | Action::Fail { .. } => told.unserved += 1,
+                Action::Refuse { .. } | Action::Fail { .. } => results.unserved += 1,
                 _ => {}
             }
         }
         now += 1.0;
-        out.retain(|(part, attempt), (at, end, outcome)| {
+        in_flight.retain(|(part, attempt), (at, end, outcome)| {
             if *end > now {
                 return true;
             }
@@ -168,25 +178,27 @@
             false
         });
     }
-    told
+    results
 }
 
-fn figures(name: &str, t: &Told) {
+/// Prints the figures of a simulation.
+fn print_figures(name: &str, results: &Results) {
     println!(
-        "{name:34} answered {:3} of {:3}, wait p50 {:5.0} ms p99 {:5.0} ms, least share {:.3}, added {:5.2} %",
-        t.answered.len(),
-        t.queries(),
-        t.wait(0.5),
-        t.wait(0.99),
-        t.answered.iter().map(|a| a.1).fold(f64::INFINITY, f64::min),
-        100.0 * t.added(),
+        "{name:34} answered {:3} of {:3}, wait p50 {:5.0} ms p99 {:5.0} ms, min share {:.3}, extra {:5.2} %",
+        results.answered.len(),
+        results.queries(),
+        results.wait(0.5),
+        results.wait(0.99),
+        results.answered.iter().map(|a| a.1).fold(f64::INFINITY, f64::min),
+        100.0 * results.extra_share(),
     );
 }
 
-/// Whatever the budget, further attempts keep within it in each of its windows; and on such a day far below the module's own.
+/// Further attempts stay within any budget in each of its windows, and here far below the default budget of
+/// the module.
 #[test]
-fn further_attempts_stay_within_the_stated_share() {
-    let own = AttemptBudget { spare: 6.0, per_request: 0.3, span: 1.5 * AIM };
+fn further_attempts_stay_within_the_budget() {
+    let default_budget = AttemptBudget { spare: 6.0, per_request: 0.3, span: 1.5 * AIM };
     let rules = [
         None,
         Some(AttemptBudget { spare: 0.0, per_request: 0.02, span: 1000.0 }),
@@ -195,40 +207,47 @@
     ];
     for (what, rule) in [Servers, Attempts].into_iter().flat_map(|what| rules.map(|rule| (what, rule))) {
         for allowed in [(true, true), (true, false), (false, true), (false, false)] {
-            let told = day(what, class(), allowed, rule, 40);
-            figures(&format!("{what:?} slow, share {:?}, {allowed:?}", rule.map(|r| r.per_request)), &told);
-            let rule = rule.unwrap_or(own);
-            assert!(told.over(&rule) <= 0.0, "{} over {rule:?}", told.over(&rule));
-            assert!(told.added() <= 0.03, "{} of the first attempts", told.added());
+            let results = simulate(what, class(), allowed, rule, 40);
+            print_figures(
+                &format!("{what:?} slow, share {:?}, {allowed:?}", rule.map(|r| r.per_request)),
+                &results,
+            );
+            let rule = rule.unwrap_or(default_budget);
+            assert!(results.max_excess(&rule) <= 0.0, "{} above {rule:?}", results.max_excess(&rule));
+            assert!(results.extra_share() <= 0.03, "{} of the first attempts", results.extra_share());
         }
     }
 }
 
-/// Second copies go only where the settings and the class allow them.
+/// Hedged attempts are sent only if the settings and the class allow them.
 #[test]
-fn second_copies_go_only_where_they_are_allowed() {
+fn hedged_attempts_are_sent_only_where_they_are_allowed() {
     for what in [Servers, Attempts] {
-        let with = day(what, class(), (true, true), None, 20);
-        assert!(with.at_once == 2 && !with.extras.is_empty(), "{}", with.at_once);
-        assert_eq!(day(what, class(), (false, true), None, 20).at_once, 1);
-        assert_eq!(day(what, class(), (false, false), None, 20).extras.len(), 0);
+        let hedged = simulate(what, class(), (true, true), None, 20);
+        assert!(hedged.max_concurrent == 2 && !hedged.extra_attempts.is_empty(), "{}", hedged.max_concurrent);
+        assert_eq!(simulate(what, class(), (false, true), None, 20).max_concurrent, 1);
+        assert_eq!(simulate(what, class(), (false, false), None, 20).extra_attempts.len(), 0);
         let unsafe_class = Class { semantics: Semantics::Unsafe, ..class() };
-        assert_eq!(day(what, unsafe_class, (true, true), None, 20).extras.len(), 0);
-        let lapsed = Class { semantics: Semantics::Keyed { window: 1.0 }, ..class() };
-        assert_eq!(day(what, lapsed, (true, true), None, 20).extras.len(), 0, "its window has passed");
+        assert_eq!(simulate(what, unsafe_class, (true, true), None, 20).extra_attempts.len(), 0);
+        let expired = Class { semantics: Semantics::Keyed { window: 1.0 }, ..class() };
+        assert_eq!(
+            simulate(what, expired, (true, true), None, 20).extra_attempts.len(),
+            0,
+            "the window has ended"
+        );
     }
 }
 
-/// An answer is given from the class's floor at the least.
+/// Every answer has at least the share of parts that is the floor of its class.
 #[test]
-fn parts_are_left_out_down_to_the_floor() {
+fn parts_are_omitted_down_to_the_floor() {
     for (what, floor) in [Servers, Attempts].into_iter().flat_map(|what| [(what, 0.999), (what, 0.98)]) {
         let partial = Class { floor, late_worth: 0.0, ..class() };
-        let told = day(what, partial, (false, false), None, 40);
-        figures(&format!("{what:?} slow, floor {floor}"), &told);
-        assert!(told.answered.iter().all(|(_, share)| *share + 1e-4 >= floor), "{:?}", told.answered);
-        let partial = told.answered.iter().filter(|(_, share)| *share < 1.0).count();
-        let (few, all) = (told.unserved > 20, told.answered.len() > 35 && partial > 20);
-        assert!(what == Servers || if floor > 0.99 { few } else { all }, "{partial} of {told:?}");
+        let results = simulate(what, partial, (false, false), None, 40);
+        print_figures(&format!("{what:?} slow, floor {floor}"), &results);
+        assert!(results.answered.iter().all(|(_, share)| *share + 1e-4 >= floor), "{:?}", results.answered);
+        let partial = results.answered.iter().filter(|(_, share)| *share < 1.0).count();
+        let (few, all) = (results.unserved > 20, results.answered.len() > 35 && partial > 20);
+        assert!(what == Servers || if floor > 0.99 { few } else { all }, "{partial} of {results:?}");
     }
 }
--- a/crates/brookbend/tests/unreachable.rs
+++ b/crates/brookbend/tests/unreachable.rs
@@ -1,5 +1,5 @@
-//! Parts at which no attempt can be sent any more, since their caller has no connections for them: their query does without,
-//! at once.
+//! Parts at which no further attempt can be sent, since their caller has no connections for them: the query
+//! is completed without them, or refused, at once.
 
 mod common;
 
@@ -22,41 +22,45 @@
     Action::Refuse { query: id("q"), retry_after: Some(50.0) }
 }
 
-/// An answer that needs the part is refused in the next batch, and nothing is sent for it any more.
+/// A query that needs the part is refused in the next batch, and nothing more is sent for it.
 #[test]
-fn a_query_that_needs_it_is_refused_at_once() {
-    let mut s = Harness::new(ring(), 1);
-    s.ask("q", &[0, 1, 2, 3]);
-    let out = s.step(5.0, vec![unreachable("q.2"), not_sent("q.2")]);
+fn a_query_that_needs_an_unreachable_part_is_refused_at_once() {
+    let mut harness = Harness::new(ring(), 1);
+    harness.ask("q", &[0, 1, 2, 3]);
+    let out = harness.step(5.0, vec![unreachable("q.2"), not_sent("q.2")]);
     assert_eq!((finals(&out), sends(&out).len()), (vec![refused()], 0));
-    assert!(finals(&s.step(5.0, vec![unreachable("q.2"), unreachable("q.3")])).is_empty(), "it is over");
+    assert!(
+        finals(&harness.step(5.0, vec![unreachable("q.2"), unreachable("q.3")])).is_empty(),
+        "the query has ended"
+    );
 }
 
-/// One that may do without it is answered once the others are in, long before its aim is over; it is not tried again.
+/// A query that allows a partial answer is answered once the other parts are served, long before its aim has
+/// passed. The part is not sent again.
 #[test]
-fn a_query_that_can_do_without_is_answered_once_the_others_are_in() {
+fn a_query_that_allows_a_partial_answer_is_answered_once_the_other_parts_are_served() {
     let class = Class { floor: 0.5, late_worth: 0.0, ..class() };
-    let mut s = Harness::new(Settings { classes: vec![class], ..ring() }, 1);
-    s.ask("q", &[0, 1, 2, 3]);
-    let out = s.step(5.0, vec![unreachable("q.2"), not_sent("q.2")]);
+    let mut harness = Harness::new(Settings { classes: vec![class], ..ring() }, 1);
+    harness.ask("q", &[0, 1, 2, 3]);
+    let out = harness.step(5.0, vec![unreachable("q.2"), not_sent("q.2")]);
     assert!(finals(&out).is_empty() && sends(&out).is_empty());
-    let out = s.step(20.0, vec![served("q.0"), served("q.1")]);
-    assert!(finals(&out).is_empty() && sends(&out).is_empty(), "one may still come");
+    let out = harness.step(20.0, vec![served("q.0"), served("q.1")]);
+    assert!(finals(&out).is_empty() && sends(&out).is_empty(), "one part may still be served");
     let partial = Action::Answer { query: id("q"), whole: false };
-    assert_eq!(finals(&s.step(5.0, vec![served("q.3")])), vec![partial]);
+    assert_eq!(finals(&harness.step(5.0, vec![served("q.3")])), vec![partial]);
 }
 
-/// One that is whole without it is marked so.
+/// An answer that has all the weight that its class needs is whole, although the part is missing.
 #[test]
-fn a_query_that_is_whole_without_it_is_answered_whole() {
+fn a_query_that_does_not_need_an_unreachable_part_is_answered_whole() {
     let class = Class { need: 0.7, floor: 0.7, ..class() };
-    let mut s = Harness::new(Settings { classes: vec![class], ..ring() }, 1);
-    let first = sends(&s.ask("q", &[0, 1, 2, 3]));
-    assert_eq!(first.len(), 3, "one is kept in reserve");
+    let mut harness = Harness::new(Settings { classes: vec![class], ..ring() }, 1);
+    let first = sends(&harness.ask("q", &[0, 1, 2, 3]));
+    assert_eq!(first.len(), 3, "one part is in reserve");
     let without = first[0].0.clone();
-    let out = s.step(5.0, vec![unreachable(&without), not_sent(&without)]);
+    let out = harness.step(5.0, vec![unreachable(&without), not_sent(&without)]);
     let spare = sends(&out);
-    assert_eq!((finals(&out).len(), spare.len()), (0, 1), "the one in reserve takes its place");
+    assert_eq!((finals(&out).len(), spare.len()), (0, 1), "the part in reserve replaces the unreachable one");
     let rest: Vec<Event> = first[1..].iter().chain(&spare).map(|s| served(&s.0)).collect();
-    assert_eq!(finals(&s.step(20.0, rest)), vec![Action::Answer { query: id("q"), whole: true }]);
+    assert_eq!(finals(&harness.step(20.0, rest)), vec![Action::Answer { query: id("q"), whole: true }]);
 }
--- a/crates/brookbend/tests/visits.rs
+++ b/crates/brookbend/tests/visits.rs
@@ -1,5 +1,5 @@
-//! How much the decisions look at, counted in queries, pieces and entries of rows: in proportion to what happened, whatever
-//! is in hand.
+//! The number of visits that decisions make to queries, parts and entries of rows is proportional to what has
+//! happened, not to what is open.
 
 mod common;
 
@@ -8,13 +8,14 @@
 use brookbend::view::Bulk;
 use common::*;
 
-/// A fleet of three servers a cell, and what it is asked.
-struct Wide {
-    a: Aggregator,
+/// An aggregator of wide queries over 400 cells of three servers each.
+struct WideFleet {
+    aggregator: Aggregator,
     now: Ms,
     group: u64,
 }
 
+/// Part and server of each attempt sent.
 type Sent = Vec<(RequestId, NodeId)>;
 
 fn sent(actions: &[Action]) -> Sent {
@@ -25,24 +26,25 @@
     actions.iter().filter_map(send).collect()
 }
 
-fn wide(class: Class, set: Settings) -> Wide {
+fn wide_fleet(class: Class, set: Settings) -> WideFleet {
     let set = Settings { classes: vec![class], cells: 400, reach: 1, shards: 400, ..set };
-    let mut a = Aggregator::new(set.clone(), 3);
+    let mut aggregator = Aggregator::new(set.clone(), 3);
     let name = |n: usize| node(&format!("n{n:05}"));
     let list = |n: usize| Member { node: name(n), ..member("", n % set.cells) };
     let members = (0..set.cells * 3).map(list).collect();
-    a.on_batch(0.0, vec![Event::List { kind: ListKind::Complete, members }]);
-    Wide { a, now: 0.0, group: 0 }
+    aggregator.on_batch(0.0, vec![Event::List { kind: ListKind::Complete, members }]);
+    WideFleet { aggregator, now: 0.0, group: 0 }
 }
 
-impl Wide {
-    /// A turn so many milliseconds later.
+impl WideFleet {
+    /// A turn `after` milliseconds after the last one.
     fn turn(&mut self, after: Ms, mut events: Vec<Event>) -> Vec<Action> {
         self.now += after;
         events.push(Event::Woken);
-        self.a.on_batch(self.now, events)
+        self.aggregator.on_batch(self.now, events)
     }
 
+    /// Sends a query with one part for each of the first shards.
     fn ask(&mut self, parts: usize) -> Sent {
         self.group += 1;
         let group = self.group;
@@ -68,11 +70,11 @@
         sent(&self.turn(1.0, events))
     }
 
-    /// Looks that the rest of this takes.
-    fn visits_during(&mut self, what: impl FnOnce(&mut Self)) -> u64 {
-        let before = self.a.visits();
-        what(self);
-        self.a.visits() - before
+    /// Number of visits that an action causes.
+    fn visits_during(&mut self, action: impl FnOnce(&mut Self)) -> u64 {
+        let before = self.aggregator.visits();
+        action(self);
+        self.aggregator.visits() - before
     }
 }
 
@@ -80,72 +82,77 @@
     Event::Ended { part: part.clone(), attempt, outcome, elapsed, load: None }
 }
 
-/// One turn an answer: twice the parts, at most 2.2 times the looks.
-fn grows_evenly(what: impl Fn(usize) -> u64) {
-    let looks = [100, 200, 400, 800].map(&what);
-    for (n, pair) in looks.windows(2).enumerate() {
-        assert!(pair[1] as f64 <= 2.2 * pair[0] as f64, "step {n} of {looks:?}");
+/// Checks that the number of visits is about proportional to the number of parts: twice the parts cause at
+/// most 2.2 times the visits.
+fn check_linear(action: impl Fn(usize) -> u64) {
+    let visits = [100, 200, 400, 800].map(&action);
+    for (n, pair) in visits.windows(2).enumerate() {
+        assert!(pair[1] as f64 <= 2.2 * pair[0] as f64, "step {n} of {visits:?}");
     }
-    assert!(looks[0] > 0);
+    assert!(visits[0] > 0);
 }
 
-fn answered_one_by_one(class: Class, parts: usize) -> u64 {
-    let mut w = wide(class, ring());
-    w.visits_during(|w| {
-        let sent = w.ask(parts);
+/// Visits of a query whose answers arrive in one turn each.
+fn visits_of_single_answers(class: Class, parts: usize) -> u64 {
+    let mut fleet = wide_fleet(class, ring());
+    fleet.visits_during(|fleet| {
+        let sent = fleet.ask(parts);
         for (part, _) in sent {
-            w.turn(0.05, vec![end(&part, 0, Outcome::Served, 5.0)]);
+            fleet.turn(0.05, vec![end(&part, 0, Outcome::Served, 5.0)]);
         }
     })
 }
 
 #[test]
-fn answers_that_come_one_by_one_are_looked_at_once_each() {
-    grows_evenly(|parts| answered_one_by_one(class(), parts));
-    let per_part = answered_one_by_one(class(), 800) as f64 / 800.0;
-    assert!(per_part < 12.0, "{per_part} looks a part");
+fn answers_in_one_turn_each_cause_few_visits_each() {
+    check_linear(|parts| visits_of_single_answers(class(), parts));
+    let per_part = visits_of_single_answers(class(), 800) as f64 / 800.0;
+    assert!(per_part < 12.0, "{per_part} visits per part");
 }
 
-/// A class that can do without some has these in reserve; while none is in trouble they are not looked at.
+/// A class that does not need all parts keeps some in reserve. They are not visited while no other part fails
+/// or is late.
 #[test]
-fn a_reserve_is_not_looked_at_until_a_part_is_in_trouble() {
-    let any = Class { need: 0.5, floor: 0.5, ..class() };
-    grows_evenly(|parts| answered_one_by_one(any.clone(), parts));
-    let mut w = wide(any, ring());
-    assert_eq!(w.ask(400).len(), 200);
-    let quiet = w.visits_during(|w| (0..20).for_each(|_| drop(w.turn(0.5, vec![]))));
-    assert!(quiet <= 20, "{quiet} looks");
+fn parts_in_reserve_are_not_visited_until_another_fails_or_is_late() {
+    let half_needed = Class { need: 0.5, floor: 0.5, ..class() };
+    check_linear(|parts| visits_of_single_answers(half_needed.clone(), parts));
+    let mut fleet = wide_fleet(half_needed, ring());
+    assert_eq!(fleet.ask(400).len(), 200);
+    let quiet = fleet.visits_during(|fleet| (0..20).for_each(|_| drop(fleet.turn(0.5, vec![]))));
+    assert!(quiet <= 20, "{quiet} visits");
 }
 
-/// All servers are behind: those that may be left out are, and what is sent is sent.
+/// All servers have failed, so that none is expected to answer soon: the parts that may be omitted are
+/// omitted, and the others are sent.
 #[test]
-fn parts_of_servers_that_are_all_behind_grow_evenly() {
+fn visits_are_linear_in_the_parts_if_all_servers_have_failed() {
     let partial = Class { floor: 0.6, ..class() };
-    grows_evenly(|parts| {
-        let mut w = wide(partial.clone(), Settings { second_copies: false, ..ring() });
+    check_linear(|parts| {
+        let mut fleet = wide_fleet(partial.clone(), Settings { second_copies: false, ..ring() });
         let lost =
             |n: usize| Bulk { node: node(&format!("n{n:05}")), served: 0, errors: 0, lost: 8, elapsed: None };
-        w.a.report_bulk(1.0, ClassIndex(0), &(0..1200).map(lost).collect::<Vec<_>>());
-        w.visits_during(|w| {
-            let sent = w.ask(parts).len();
+        fleet.aggregator.report_bulk(1.0, ClassIndex(0), &(0..1200).map(lost).collect::<Vec<_>>());
+        fleet.visits_during(|fleet| {
+            let sent = fleet.ask(parts).len();
             assert!(sent < parts * 7 / 10 && sent > parts / 2, "{sent} of {parts}");
-            (0..50).for_each(|_| drop(w.turn(5.0, vec![])));
+            (0..50).for_each(|_| drop(fleet.turn(5.0, vec![])));
         })
     });
 }
 
-/// Every other first attempt fails, one turn after another, and further ones are short.
+/// Every other first attempt fails, in a turn of its own, and further attempts are limited by a budget.
 #[test]
-fn retries_grow_evenly() {
+fn visits_are_linear_in_the_parts_with_retries() {
     for outcome in [Outcome::Full, Outcome::Error, Outcome::ConnectionLost] {
         for share in [0.0, 0.2, 1.0] {
-            grows_evenly(|parts| {
+            check_linear(|parts| {
                 let budget = AttemptBudget { spare: 0.0, per_request: share, span: 1000.0 };
-                let mut w = wide(class(), Settings { budget: Some(budget), max_attempts: 3, ..ring() });
-                w.visits_during(|w| {
-                    for (n, (part, _)) in w.ask(parts).into_iter().enumerate() {
+                let mut fleet =
+                    wide_fleet(class(), Settings { budget: Some(budget), max_attempts: 3, ..ring() });
+                fleet.visits_during(|fleet| {
+                    for (n, (part, _)) in fleet.ask(parts).into_iter().enumerate() {
                         let outcome = if n % 2 == 0 { Outcome::Served } else { outcome };
-                        w.turn(0.05, vec![end(&part, 0, outcome, 2.0)]);
+                        fleet.turn(0.05, vec![end(&part, 0, outcome, 2.0)]);
                     }
                 })
             });
@@ -153,50 +160,51 @@
     }
 }
 
-/// Parts that are late in one query, of which none may be tried again: not looked at in each turn.
+/// Late parts that may not be repeated are not visited in every turn.
 #[test]
-fn what_is_late_and_may_not_be_repeated_is_left_alone() {
+fn late_parts_that_may_not_be_repeated_are_not_visited() {
     let unsafe_class = Class { semantics: Semantics::Unsafe, ..class() };
-    let mut w = wide(unsafe_class, ring());
-    assert_eq!(w.ask(400).len(), 400);
-    w.turn(600.0, vec![]);
-    let quiet = w.visits_during(|w| (0..20).for_each(|_| drop(w.turn(5.0, vec![]))));
-    assert!(quiet <= 40, "{quiet} looks at parts that are late");
+    let mut fleet = wide_fleet(unsafe_class, ring());
+    assert_eq!(fleet.ask(400).len(), 400);
+    fleet.turn(600.0, vec![]);
+    let quiet = fleet.visits_during(|fleet| (0..20).for_each(|_| drop(fleet.turn(5.0, vec![]))));
+    assert!(quiet <= 40, "{quiet} visits to late parts");
 }
 
-/// Further attempts are used up: one look tells that for all.
+/// Once the budget of further attempts is used up, one visit in a turn finds that out for all late parts.
 #[test]
-fn late_parts_without_a_budget_are_not_gone_through() {
+fn late_parts_are_not_all_visited_without_a_budget() {
     let budget = AttemptBudget { spare: 0.0, per_request: 0.0, span: 1000.0 };
-    let mut w = wide(class(), Settings { budget: Some(budget), ..ring() });
-    assert_eq!(w.ask(400).len(), 400);
-    w.turn(600.0, vec![]);
-    let quiet = w.visits_during(|w| (0..20).for_each(|_| drop(w.turn(5.0, vec![]))));
-    assert!(quiet <= 80, "{quiet} looks at parts that are late");
+    let mut fleet = wide_fleet(class(), Settings { budget: Some(budget), ..ring() });
+    assert_eq!(fleet.ask(400).len(), 400);
+    fleet.turn(600.0, vec![]);
+    let quiet = fleet.visits_during(|fleet| (0..20).for_each(|_| drop(fleet.turn(5.0, vec![]))));
+    assert!(quiet <= 80, "{quiet} visits to late parts");
 }
 
-/// Turns that bring nothing, with twenty wide queries in hand and not yet due.
+/// Turns without events, with twenty wide queries open and not yet due.
 #[test]
-fn idle_turns_look_at_next_to_nothing() {
-    let mut w = wide(class(), ring());
-    let parts: usize = (0..20).map(|_| w.ask(400).len()).sum();
+fn idle_turns_cause_hardly_any_visits() {
+    let mut fleet = wide_fleet(class(), ring());
+    let parts: usize = (0..20).map(|_| fleet.ask(400).len()).sum();
     assert_eq!(parts, 8000);
-    let idle = w.visits_during(|w| (0..100).for_each(|_| drop(w.turn(0.1, vec![]))));
-    assert!(idle <= 20, "{idle} looks in a hundred idle turns");
+    let idle = fleet.visits_during(|fleet| (0..100).for_each(|_| drop(fleet.turn(0.1, vec![]))));
+    assert!(idle <= 20, "{idle} visits in a hundred idle turns");
 }
 
-/// A change of the list costs the rows that it concerns, with queries in hand; a cell that goes, one look at all.
+/// A change of the list causes visits to the rows that it concerns, even with open queries. Only a cell
+/// without holders causes visits to all queries.
 #[test]
-fn a_change_of_the_list_costs_what_changed() {
-    let mut w = wide(class(), ring());
-    (0..10).for_each(|_| drop(w.ask(400)));
+fn a_change_of_the_list_causes_visits_to_what_changed() {
+    let mut fleet = wide_fleet(class(), ring());
+    (0..10).for_each(|_| drop(fleet.ask(400)));
     let change = |n: usize, state| Member { node: node(&format!("n{n:05}")), state, ..member("", n % 400) };
     let list = |members| vec![Event::List { kind: ListKind::Changes, members }];
-    let one = w.visits_during(|w| drop(w.turn(0.1, list(vec![change(7, NodeState::Draining)]))));
-    assert!(one <= 10, "{one} looks for one server");
+    let one = fleet.visits_during(|fleet| drop(fleet.turn(0.1, list(vec![change(7, NodeState::Draining)]))));
+    assert!(one <= 10, "{one} visits for one server");
     let zone = (0..410).map(|n| change(n, NodeState::Draining)).collect();
-    let zone = w.visits_during(|w| drop(w.turn(0.1, list(zone))));
-    assert!(zone <= 410 * 4, "{zone} looks for 410 servers");
-    let same = w.visits_during(|w| drop(w.turn(0.1, list(vec![change(7, NodeState::Draining)]))));
-    assert!(same <= 2, "{same} looks for what was known");
+    let zone = fleet.visits_during(|fleet| drop(fleet.turn(0.1, list(zone))));
+    assert!(zone <= 410 * 4, "{zone} visits for 410 servers");
+    let same = fleet.visits_during(|fleet| drop(fleet.turn(0.1, list(vec![change(7, NodeState::Draining)]))));
+    assert!(same <= 2, "{same} visits for an entry that did not change");
 }
