--- a/crates/brookbend/src/retry_advice.rs
+++ b/crates/brookbend/src/retry_advice.rs
@@ -3,8 +3,7 @@
 use crate::api::{Ms, Settings};
 use crate::choice::RETURN_AIM;
 
-/// Time after which the client of such a query should retry: the same as for a query that is refused on
-/// arrival. `None` if clients do not heed retry advice.
+/// Time after which the client should retry, as if refused on arrival; `None` if clients heed no such advice.
 pub fn retry_after_when_full(settings: &Settings, class: usize) -> Option<Ms> {
     let aim = settings.classes.get(class).map_or(f64::INFINITY, |c| c.aim);
     settings.max_retry_after.map(|max| max.min(RETURN_AIM * aim))
