--- a/crates/brookbend/src/bin/brookbend-adapter.rs
+++ b/crates/brookbend/src/bin/brookbend-adapter.rs
@@ -4,19 +4,19 @@
 
 use brookbend::Aggregator;
 use brookbend::api::*;
-use brookbend::settings::{self, Message};
+use brookbend::settings::{self, JsonObject};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
 /// Reads the id of a query or part.
-fn request_id(m: &Message) -> Result<RequestId, String> {
+fn request_id(m: &JsonObject) -> Result<RequestId, String> {
     Ok(RequestId::named(m.text("OpId")?))
 }
 
 /// Reads the entries of a list of servers.
-fn members(m: &Message) -> Result<Vec<Member>, String> {
+fn members(m: &JsonObject) -> Result<Vec<Member>, String> {
     let mut members = Vec::new();
     for entry in m.objects("MembersList")? {
         let state = match entry.text("Mode")? {
@@ -37,7 +37,7 @@
 }
 
 /// Reads the arrival of a query or, if it names a shard (`Slice` from 0 on), of a part.
-fn arrival(m: &Message, classes: usize) -> Result<Event, String> {
+fn arrival(m: &JsonObject, classes: usize) -> Result<Event, String> {
     let class = m.whole("Service")? as usize;
     if class >= classes {
         return m.bad("Service", "names no class");
@@ -50,10 +50,10 @@
             group,
             class: ClassIndex(class),
             tenant: TenantIndex(m.opt_whole("Team")?.unwrap_or(0) as usize),
-            give_up_at: m.number("GiveUpAt")?,
-            patience_ends: m.number("GiveUpAt")?,
+            deadline: m.number("GiveUpAt")?,
+            client_deadline: m.number("GiveUpAt")?,
             max_attempts: None,
-            again: m.flag("AgainByClient")?,
+            is_retry: m.flag("AgainByClient")?,
         }));
     }
     Ok(Event::Part(Part {
@@ -67,13 +67,13 @@
 
 /// Number of requests that a server holds according to its load report; `None` if the report is absent or
 /// malformed.
-fn reported_requests(m: &Message) -> Option<f64> {
+fn reported_requests(m: &JsonObject) -> Option<f64> {
     let report = m.get("Gauge")?.as_object()?;
     report.get("rif").or_else(|| report.get("q"))?.as_f64().filter(|n| *n >= 0.0)
 }
 
 /// Reads how an attempt ended.
-fn outcome(m: &Message) -> Result<Outcome, String> {
+fn outcome(m: &JsonObject) -> Result<Outcome, String> {
     Ok(match m.text("Rc")? {
         "served" => Outcome::Served,
         "server_error" => Outcome::Error,
@@ -90,8 +90,8 @@
 /// The message that carries out an action of an instance.
 fn action_line(instance: u64, action: &Action) -> Value {
     match action {
-        Action::Send { part, node, within } => {
-            json!({"t": "Issue", "I": instance, "OpId": part.to_string(), "Within": within.unwrap_or(0.0), "Node": &*node.0})
+        Action::Send { part, node, timeout } => {
+            json!({"t": "Issue", "I": instance, "OpId": part.to_string(), "Within": timeout.unwrap_or(0.0), "Node": &*node.0})
         }
         Action::Cancel { part, attempt } => {
             json!({"t": "AbortAttempt", "I": instance, "OpId": part.to_string(), "Hop": attempt})
@@ -128,7 +128,7 @@
 
 impl Adapter {
     /// Applies a message of the open batch. The error names the faulty field.
-    fn receive(&mut self, m: &Message) -> Result<(), String> {
+    fn receive(&mut self, m: &JsonObject) -> Result<(), String> {
         if m.name() == "Ledger" {
             self.lists.insert(m.whole("Slot")?, members(m)?);
             return Ok(());
@@ -176,7 +176,7 @@
                 elapsed: m.number("Rtt")?,
                 load: reported_requests(m),
             }),
-            "Dropped" => Some(Event::Gone(request_id(m)?)),
+            "Dropped" => Some(Event::ClientGone(request_id(m)?)),
             "DeadlineHit" => m.whole("Ref").map(|_| Some(Event::Woken))?,
             // Part of the protocol, but of no use to the module.
             "Begun" | "Probed" | "Memo" => None,
@@ -187,7 +187,7 @@
     }
 
     /// Runs the open batch of each instance, and writes the actions and the line that ends the batch.
-    fn reply(&mut self, now: Ms, batch: &Value, out: &mut impl Write) -> io::Result<()> {
+    fn reply(&mut self, now: Millis, batch: &Value, out: &mut impl Write) -> io::Result<()> {
         for (number, events) in std::mem::take(&mut self.inbox) {
             let Some(instance) = self.instances.get_mut(&number) else { continue };
             for action in instance.aggregator.on_batch(now, events) {
@@ -202,7 +202,7 @@
 /// Reads batches and answers each of them until the input ends. The error text names the line and the batch.
 fn serve(input: impl BufRead, mut out: impl Write) -> Result<(), String> {
     let mut adapter = Adapter::default();
-    let mut open: Option<(Ms, Value)> = None;
+    let mut open: Option<(Millis, Value)> = None;
     let mut last = Value::Null;
     for (index, line) in input.lines().enumerate() {
         let place = |batch: &Value| format!("line {}, batch {batch}", index + 1);
@@ -218,7 +218,7 @@
         let Some(name) = fields.get("t").and_then(Value::as_str) else {
             return Err(format!("{}: message: field t is missing or not a string", place(&last)));
         };
-        let m = Message::new(name, fields);
+        let m = JsonObject::new(name, fields);
         match name {
             "Tick" => {
                 last = json!(m.whole("n").map_err(|e| format!("{}: {e}", place(&last)))?);
--- a/crates/brookbend/src/consistency.rs
+++ b/crates/brookbend/src/consistency.rs
@@ -13,13 +13,13 @@
         let mut difference = None;
         for (id, query) in &mut queries {
             self.update_late_parts(query);
-            let statuses: Vec<PartStatus> = query.pieces.iter().map(|p| p.status).collect();
+            let statuses: Vec<PartStatus> = query.parts.iter().map(|p| p.status).collect();
             let totals = take(&mut query.totals);
             let visits_all = std::mem::replace(&mut self.visits_all, true);
             let counts = self.lost_and_served_counts(query);
             self.visits_all = visits_all;
-            query.rebuild_index(&self.set, self.now);
-            for (position, (indexed, part)) in statuses.iter().zip(&query.pieces).enumerate() {
+            query.rebuild_index(&self.settings, self.now);
+            for (position, (indexed, part)) in statuses.iter().zip(&query.parts).enumerate() {
                 // A part that may no longer be repeated because its window has ended is re-indexed only when
                 // it is visited.
                 let window_ended = matches!(
@@ -34,7 +34,7 @@
                     ));
                 }
             }
-            if !same(&totals, &query.totals) || (query.broken, query.totals.served) != counts {
+            if !same(&totals, &query.totals) || (query.lost_to_silent, query.totals.served) != counts {
                 difference = Some(format!(
                     "{id}: running totals {totals:?}, recomputed {:?}, lost and served {counts:?}",
                     query.totals
--- a/crates/brookbend/src/estimates/mod.rs
+++ b/crates/brookbend/src/estimates/mod.rs
@@ -12,7 +12,7 @@
 pub(crate) use pace::Pace;
 pub(crate) use work::WorkEstimate;
 
-use crate::state::{Learned, Server};
+use crate::state::{ClassEstimates, Server};
 
 /// The highest worth per work that a query of any class has had, by the current estimates of the units of
 /// work. `density` is that of the current query, of class `class`: its worth per millisecond of work, or its
@@ -21,8 +21,13 @@
 ///
 /// The best value of each class is kept per unit of work, not per millisecond: the unit grows with load, and
 /// a density that was measured with the unit of an idle hour would make every query of a busy hour look poor.
-pub(crate) fn best_density(learned: &mut [Learned], class: usize, density: f64, worth_by_work: bool) -> f64 {
-    let unit = |class: &Learned| if worth_by_work { 1.0 } else { class.work.unit() };
+pub(crate) fn best_density(
+    learned: &mut [ClassEstimates],
+    class: usize,
+    density: f64,
+    worth_by_work: bool,
+) -> f64 {
+    let unit = |class: &ClassEstimates| if worth_by_work { 1.0 } else { class.work.unit() };
     let current = &mut learned[class];
     current.best_worth = current.best_worth.max(density * unit(current));
     let known = learned.iter().enumerate().filter(|(other, l)| *other == class || l.work.is_known());
@@ -34,7 +39,7 @@
 /// Without this the same time would count twice: the hundreds of answers to one query raise the unit step by
 /// step to the time that they took, while each server's pace has already been raised by that same time
 /// relative to the old unit. Units that are known change without it.
-pub(crate) fn rescale(learned: &mut [Learned], servers: &mut [Server]) {
+pub(crate) fn rescale(learned: &mut [ClassEstimates], servers: &mut [Server]) {
     for (class, learned) in learned.iter_mut().enumerate() {
         let Some(change) = learned.work.take_change() else { continue };
         for server in servers.iter_mut() {
@@ -63,20 +68,20 @@
     const CALL_WORK: f64 = 1.0;
 
     /// A class with enough answers, each after `time` milliseconds, for its unit of work to be known.
-    fn known(time: f64) -> Learned {
-        let mut learned = Learned { work: WorkEstimate::new(CALL_WORK), ..Learned::default() };
+    fn known(time: f64) -> ClassEstimates {
+        let mut learned = ClassEstimates { work: WorkEstimate::new(CALL_WORK), ..ClassEstimates::default() };
         observe_answers(&mut learned, time);
         assert!(learned.work.is_known());
         learned
     }
 
-    fn observe_answers(learned: &mut Learned, time: f64) {
+    fn observe_answers(learned: &mut ClassEstimates, time: f64) {
         (0..2000).for_each(|_| learned.work.observe(time));
         learned.work.take_change();
     }
 
     /// Worth per work of a query that is worth 1 and has this many parts.
-    fn density(learned: &[Learned], class: usize, parts: f64) -> f64 {
+    fn density(learned: &[ClassEstimates], class: usize, parts: f64) -> f64 {
         1.0 / (parts * learned[class].work.unit())
     }
 
@@ -97,7 +102,8 @@
 
     #[test]
     fn a_class_with_a_provisional_unit_does_not_devalue_other_classes() {
-        let mut learned = [known(60.0), Learned { work: WorkEstimate::new(CALL_WORK), ..Learned::default() }];
+        let mut learned =
+            [known(60.0), ClassEstimates { work: WorkEstimate::new(CALL_WORK), ..ClassEstimates::default() }];
         let of_provisional = density(&learned, 1, 1.0);
         assert_eq!(best_density(&mut learned, 1, of_provisional, false), of_provisional);
         let of_known = density(&learned, 0, 1.0);
--- a/crates/brookbend/src/estimates/work.rs
+++ b/crates/brookbend/src/estimates/work.rs
@@ -1,6 +1,6 @@
 //! Work of a part of one class, estimated from the times of answers.
 
-use crate::api::Ms;
+use crate::api::Millis;
 
 /// Quantile of answer times that is taken as the work of one part where there are no hints, and the relative
 /// step by which the estimate approaches it.
@@ -29,11 +29,11 @@
 pub(crate) struct WorkEstimate {
     /// The unit of work that forecasts use. It starts from the work of a call and takes hundreds of answers
     /// to reach that of a part.
-    unit: Ms,
+    unit: Millis,
     /// Work of a part without its call. The first few answers determine it.
-    part_alone: Ms,
+    part_alone: Millis,
     /// Fixed work of a call.
-    call: Ms,
+    call: Millis,
     /// Number of answers, up to [`FIRST_ANSWERS`].
     answers: u32,
     /// Whether the unit has come close to the time of answers. Until then it is provisional.
@@ -56,7 +56,7 @@
 
 impl WorkEstimate {
     /// The estimate before any answer, from the fixed work of a call.
-    pub(crate) fn new(call: Ms) -> Self {
+    pub(crate) fn new(call: Millis) -> Self {
         WorkEstimate {
             unit: call.max(1.0) * INITIAL_CALL_MULTIPLE,
             call,
@@ -68,12 +68,12 @@
 
     /// The estimate with a unit that another process learned. From how many answers is unknown, so that it is
     /// provisional.
-    pub(crate) fn restored(unit: Ms, call: Ms) -> Self {
+    pub(crate) fn restored(unit: Millis, call: Millis) -> Self {
         WorkEstimate { unit, ..WorkEstimate::new(call) }
     }
 
     /// Work of one part as forecasts take it, in milliseconds.
-    pub(crate) fn unit(&self) -> Ms {
+    pub(crate) fn unit(&self) -> Millis {
         self.unit
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Takes in the time of an answer.
-    pub(crate) fn observe(&mut self, elapsed: Ms) {
+    pub(crate) fn observe(&mut self, elapsed: Millis) {
         let step = step_towards(self.unit, elapsed);
         if !self.known {
             self.pending_ratio *= step;
@@ -134,13 +134,13 @@
     /// Work that a part counts for at a server that has just started. The forecast's `work` is used unless it
     /// is too low by more than the factor [`MAX_COLD_UNDERESTIMATE`]: the allowance of a cold server has a
     /// margin for that.
-    pub(crate) fn cold_work(&self, work: Ms, aim: Ms) -> Ms {
+    pub(crate) fn cold_work(&self, work: Millis, aim: Millis) -> Millis {
         let estimate = if self.answers == 0 { ASSUMED_COLD_AIM_SHARE * aim } else { self.part_alone };
         if estimate > MAX_COLD_UNDERESTIMATE * work { estimate } else { work }
     }
 }
 
 /// Factor of one step of an estimate towards the quantile of the observed values.
-fn step_towards(estimate: Ms, observed: Ms) -> f64 {
+fn step_towards(estimate: Millis, observed: Millis) -> f64 {
     1.0 + STEP * if observed > estimate { QUANTILE } else { QUANTILE - 1.0 }
 }
--- a/crates/brookbend/src/fleet.rs
+++ b/crates/brookbend/src/fleet.rs
@@ -94,16 +94,17 @@
     /// Begins a batch: attempts share calls only with others of the same batch.
     pub(crate) fn begin_batch(&mut self) {
         for server in std::mem::take(&mut self.called_in_batch) {
-            (self.servers[server].bundled, self.servers[server].bundled_work) = (0, 0.0);
+            (self.servers[server].batch_parts, self.servers[server].batch_work) = (0, 0.0);
         }
     }
 
     /// Evicts the servers that are gone, have not responded since `responded_before` and are not among those
     /// `in_use`.
-    pub(crate) fn evict_gone(&mut self, responded_before: Ms, in_use: impl FnOnce() -> BTreeSet<usize>) {
+    pub(crate) fn evict_gone(&mut self, responded_before: Millis, in_use: impl FnOnce() -> BTreeSet<usize>) {
         let servers = &self.servers;
         let is_gone = |position: &usize| {
-            servers[*position].state == NodeState::Gone && servers[*position].heard < responded_before
+            servers[*position].state == NodeState::Gone
+                && servers[*position].last_response_at < responded_before
         };
         let mut evicted: Vec<usize> = self.by_name.values().copied().filter(is_gone).collect();
         if evicted.is_empty() {
--- a/crates/brookbend/src/part_index.rs
+++ b/crates/brookbend/src/part_index.rs
@@ -4,8 +4,8 @@
 //! sets and sums are updated as parts change, so that no turn has to recompute them from all parts.
 
 use crate::api::*;
-use crate::choice::{Aggregator, ROUNDING};
-use crate::state::{Held, Piece};
+use crate::choice::{Aggregator, TOLERANCE};
+use crate::state::{PartState, QueryState};
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeSet, BinaryHeap};
 
@@ -15,7 +15,7 @@
 
 /// A time in milliseconds with a total order, for use as a key.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct OrderedTime(pub(crate) Ms);
+pub(crate) struct OrderedTime(pub(crate) Millis);
 
 impl Eq for OrderedTime {}
 
@@ -72,12 +72,12 @@
     pub(crate) late: BTreeSet<usize>,
     pub(crate) late_exhausted: BTreeSet<usize>,
     /// Minimum age of an attempt, in milliseconds, before it counts as late.
-    pub(crate) late_floor: Ms,
+    pub(crate) late_floor: Millis,
 }
 
 impl PartIndex {
-    fn insert(&mut self, position: usize, part: &Piece) {
-        let last = part.tries.last().map_or((0.0, 0.0), |t| (t.sent, t.expected));
+    fn insert(&mut self, position: usize, part: &PartState) {
+        let last = part.attempts.last().map_or((0.0, 0.0), |t| (t.sent, t.expected));
         match part.status {
             PartStatus::Done => {}
             PartStatus::Unsent => drop(self.unsent.insert(position)),
@@ -85,7 +85,7 @@
             PartStatus::Failed => drop(self.failed.insert(position)),
             PartStatus::Exhausted => self.exhausted += 1,
             PartStatus::Waiting => {
-                self.waiting.push(Reverse((OrderedTime(last.0 + last.1), position, part.tries.len())))
+                self.waiting.push(Reverse((OrderedTime(last.0 + last.1), position, part.attempts.len())))
             }
             PartStatus::BeyondExpected => drop(self.beyond_expected.insert((OrderedTime(last.0), position))),
             PartStatus::Late => drop(self.late.insert(position)),
@@ -93,8 +93,8 @@
         }
     }
 
-    fn remove(&mut self, position: usize, part: &Piece) {
-        let sent = part.tries.last().map_or(0.0, |t| t.sent);
+    fn remove(&mut self, position: usize, part: &PartState) {
+        let sent = part.attempts.last().map_or(0.0, |t| t.sent);
         match part.status {
             PartStatus::Done | PartStatus::Waiting => {}
             PartStatus::Unsent => drop(self.unsent.remove(&position)),
@@ -119,7 +119,7 @@
 pub(crate) struct PartTotals {
     /// Number of served parts over all steps, and the longest time that an attempt at one of them took.
     pub(crate) served: usize,
-    pub(crate) max_attempt_time: Ms,
+    pub(crate) max_attempt_time: Millis,
     /// Number of served parts in the current step, and their weight.
     pub(crate) step_served: usize,
     pub(crate) served_weight: f64,
@@ -136,7 +136,7 @@
 impl PartTotals {
     /// Adds a part with `sign` 1, or subtracts it with -1. `scope` holds whether the part belongs to the
     /// current step and the maximum number of attempts.
-    fn add(&mut self, part: &Piece, scope: (bool, u32), sign: f64) {
+    fn add(&mut self, part: &PartState, scope: (bool, u32), sign: f64) {
         let (in_step, max_attempts) = scope;
         if part.served {
             self.served = self.served.wrapping_add_signed(sign as isize);
@@ -149,14 +149,14 @@
         if is_missing(part, max_attempts) {
             self.missing_weight += weight;
         }
-        let omitted = usize::from(part.left);
+        let omitted = usize::from(part.omitted);
         if part.served {
             self.step_served = self.step_served.wrapping_add_signed(sign as isize);
             self.served_weight += weight;
-        } else if part.tries.iter().any(|t| t.outcome.is_none()) {
+        } else if part.attempts.iter().any(|t| t.outcome.is_none()) {
             self.pending_weight[0][omitted] += weight;
-        } else if part.housed && part.tried() < max_attempts {
-            self.pending_weight[if part.tries.is_empty() { 1 } else { 2 }][omitted] += weight;
+        } else if part.has_holders && part.attempts_used() < max_attempts {
+            self.pending_weight[if part.attempts.is_empty() { 1 } else { 2 }][omitted] += weight;
         }
     }
 
@@ -175,53 +175,53 @@
 }
 
 /// Whether a part is omitted, or unserved with all its attempts used.
-pub(crate) fn is_missing(part: &Piece, max_attempts: u32) -> bool {
-    part.left || !part.served && part.tried() >= max_attempts
+pub(crate) fn is_missing(part: &PartState, max_attempts: u32) -> bool {
+    part.omitted || !part.served && part.attempts_used() >= max_attempts
 }
 
-impl Held {
+impl QueryState {
     /// Removes a part from the index and the totals. Call this before the part changes.
     pub(crate) fn unindex_part(&mut self, position: usize) {
-        let part = &self.pieces[position];
+        let part = &self.parts[position];
         self.part_index.remove(position, part);
-        self.totals.add(part, (position >= self.step_from, self.max_attempts), -1.0);
+        self.totals.add(part, (position >= self.step_start, self.max_attempts), -1.0);
     }
 
     /// Determines the status of a part and adds it to the index and the totals again.
-    pub(crate) fn index_part(&mut self, settings: &Settings, now: Ms, position: usize) {
+    pub(crate) fn index_part(&mut self, settings: &Settings, now: Millis, position: usize) {
         let status = self.part_status(settings, now, position);
-        let part = &mut self.pieces[position];
+        let part = &mut self.parts[position];
         part.status = status;
-        self.totals.add(part, (position >= self.step_from, self.max_attempts), 1.0);
+        self.totals.add(part, (position >= self.step_start, self.max_attempts), 1.0);
         if part.served {
             self.totals.max_attempt_time =
-                part.tries.iter().map(|t| t.took).fold(self.totals.max_attempt_time, f64::max);
+                part.attempts.iter().map(|t| t.took).fold(self.totals.max_attempt_time, f64::max);
         }
         self.part_index.insert(position, part);
     }
 
     /// Recomputes the index and the totals from all parts.
-    pub(crate) fn rebuild_index(&mut self, settings: &Settings, now: Ms) {
+    pub(crate) fn rebuild_index(&mut self, settings: &Settings, now: Millis) {
         self.part_index = PartIndex { late_floor: self.part_index.late_floor, ..PartIndex::default() };
         self.totals = PartTotals::default();
-        (0..self.pieces.len()).for_each(|position| self.index_part(settings, now, position));
+        (0..self.parts.len()).for_each(|position| self.index_part(settings, now, position));
     }
 
     /// Whether the class lets a query omit some of its parts. Each part without an attempt in flight is then
     /// visited in every turn.
     pub(crate) fn may_omit_parts(&self, settings: &Settings) -> bool {
         let class = &settings.classes[self.class];
-        self.step_from == 0 && class.need - class.floor > ROUNDING
+        self.step_start == 0 && class.need - class.floor > TOLERANCE
     }
 
-    fn part_status(&self, settings: &Settings, now: Ms, position: usize) -> PartStatus {
-        let part = &self.pieces[position];
-        if part.served || position < self.step_from {
+    fn part_status(&self, settings: &Settings, now: Millis, position: usize) -> PartStatus {
+        let part = &self.parts[position];
+        if part.served || position < self.step_start {
             return PartStatus::Done;
         }
-        let exhausted = part.tried() >= self.max_attempts;
-        let Some(last) = part.tries.last() else {
-            return match (exhausted, part.reserve) {
+        let exhausted = part.attempts_used() >= self.max_attempts;
+        let Some(last) = part.attempts.last() else {
+            return match (exhausted, part.in_reserve) {
                 (true, _) => PartStatus::Done,
                 (false, true) => PartStatus::Reserve,
                 (false, false) => PartStatus::Unsent,
--- a/crates/brookbend/src/schedule.rs
+++ b/crates/brookbend/src/schedule.rs
@@ -6,15 +6,15 @@
 //! visit; one that is too late would change a decision.
 
 use crate::api::*;
-use crate::choice::{Aggregator, LEAVE_WAIT, REPLY_TICKS, ROUNDING};
+use crate::choice::{Aggregator, OMIT_WAIT_SHARE, REPLY_TICKS, TOLERANCE};
 use crate::part_index::{OrderedTime, PartStatus, is_missing};
-use crate::state::{Held, Try};
+use crate::state::{Attempt, QueryState};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem::{replace, take};
 
 /// Tolerance for rounding errors in computed due times, in milliseconds: visits are made this much earlier.
-const DUE_TIME_TOLERANCE: Ms = 0.01;
+const DUE_TIME_TOLERANCE: Millis = 0.01;
 
 /// The open queries by the time at which they have to be visited next.
 #[derive(Default)]
@@ -41,7 +41,7 @@
     }
 
     /// Removes and returns the queries that are due, in the order of their ids.
-    fn take_due(&mut self, now: Ms) -> BTreeSet<RequestId> {
+    fn take_due(&mut self, now: Millis) -> BTreeSet<RequestId> {
         let mut due = take(&mut self.changed);
         while self.by_due_time.first().is_some_and(|(due_at, _)| due_at.0 <= now) {
             due.extend(self.by_due_time.pop_first().map(|(_, id)| id));
@@ -50,7 +50,7 @@
     }
 
     /// Sets the time by which a query has to be visited next; not after `now` means the next turn.
-    fn set(&mut self, id: &RequestId, query: &mut Held, due_at: Ms, now: Ms) {
+    fn set(&mut self, id: &RequestId, query: &mut QueryState, due_at: Millis, now: Millis) {
         let previous = replace(&mut query.due_at, due_at);
         if previous != due_at || due_at <= now {
             self.by_due_time.remove(&(OrderedTime(previous), id.clone()));
@@ -63,13 +63,16 @@
     }
 
     /// Removes a query that has ended.
-    pub(crate) fn remove(&mut self, id: &RequestId, query: &Held) {
+    pub(crate) fn remove(&mut self, id: &RequestId, query: &QueryState) {
         self.by_due_time.remove(&(OrderedTime(query.due_at), id.clone()));
-        if query.lost == 0 {
+        if query.lost_connections == 0 {
             return;
         }
-        for attempt in
-            query.pieces.iter().flat_map(|p| &p.tries).filter(|t| t.outcome == Some(Outcome::ConnectionLost))
+        for attempt in query
+            .parts
+            .iter()
+            .flat_map(|p| &p.attempts)
+            .filter(|t| t.outcome == Some(Outcome::ConnectionLost))
         {
             if let Some(queries) = self.lost_by_server.get_mut(&attempt.server) {
                 queries.retain(|other| other != id);
@@ -104,11 +107,11 @@
         let mut due = self.queries.schedule.take_due(self.now);
         if take(&mut self.queries.schedule.rebuild_all) || self.visits_all {
             for (id, query) in &mut self.queries.by_id {
-                for part in &mut query.pieces {
-                    part.housed = !self.fleet.rows.holders(part.shard).is_empty();
+                for part in &mut query.parts {
+                    part.has_holders = !self.fleet.rows.holders(part.shard).is_empty();
                 }
-                query.rebuild_index(&self.set, self.now);
-                self.visits.set(self.visits.get() + query.pieces.len() as u64);
+                query.rebuild_index(&self.settings, self.now);
+                self.visits.set(self.visits.get() + query.parts.len() as u64);
                 due.insert(id.clone());
             }
         }
@@ -118,8 +121,8 @@
 
     /// Re-indexes the parts of a query whose status changes with time alone: those whose attempt has exceeded
     /// its expected time or has become late, and the late ones if the minimum age for being late has risen.
-    pub(crate) fn update_late_parts(&self, query: &mut Held) {
-        let late_floor = self.late_floor(query);
+    pub(crate) fn update_late_parts(&self, query: &mut QueryState) {
+        let late_floor = self.min_late_age(query);
         let floor_rose = late_floor > replace(&mut query.part_index.late_floor, late_floor);
         let mut outdated: Vec<usize> = Vec::new();
         if floor_rose {
@@ -129,8 +132,8 @@
             && expected_at.0 - DUE_TIME_TOLERANCE <= self.now
         {
             query.part_index.waiting.pop();
-            let part = &query.pieces[position];
-            if part.status == PartStatus::Waiting && part.tries.len() == attempts {
+            let part = &query.parts[position];
+            if part.status == PartStatus::Waiting && part.attempts.len() == attempts {
                 outdated.push(position);
             }
         }
@@ -143,52 +146,52 @@
         self.count_visits(outdated.len());
         for position in outdated {
             query.unindex_part(position);
-            query.index_part(&self.set, self.now, position);
+            query.index_part(&self.settings, self.now, position);
         }
     }
 
     /// Sends the attempts that are due, after visiting all parts of the current step or only those that need
     /// a decision.
-    pub(crate) fn run_parts(&mut self, query: &mut Held, all: bool) {
-        let (mut from, mut blocked) = (query.step_from, false);
+    pub(crate) fn run_parts(&mut self, query: &mut QueryState, all: bool) {
+        let (mut from, mut blocked) = (query.step_start, false);
         loop {
             let position = if all || self.visits_all {
                 from
             } else {
-                query.next_part(&self.set, from, blocked).unwrap_or(usize::MAX)
+                query.next_part(&self.settings, from, blocked).unwrap_or(usize::MAX)
             };
-            if position >= query.pieces.len() {
+            if position >= query.parts.len() {
                 return;
             }
             self.count_visits(1);
             query.unindex_part(position);
-            blocked |= !self.run_piece(query, position);
-            query.index_part(&self.set, self.now, position);
+            blocked |= !self.run_part(query, position);
+            query.index_part(&self.settings, self.now, position);
             from = position + 1;
         }
     }
 
     /// Schedules the next visit to a query that this turn has visited.
-    pub(crate) fn schedule_next_visit(&mut self, id: &RequestId, query: &mut Held) {
-        let class = &self.set.classes[query.class];
+    pub(crate) fn schedule_next_visit(&mut self, id: &RequestId, query: &mut QueryState) {
+        let class = &self.settings.classes[query.class];
         let index = &query.part_index;
         let idle = index.unsent.is_empty() && index.failed.is_empty() && index.late.is_empty();
         let reserve_due =
-            !index.reserve.is_empty() && (index.any_failed_or_late() || query.may_omit_parts(&self.set));
+            !index.reserve.is_empty() && (index.any_failed_or_late() || query.may_omit_parts(&self.settings));
         // The due times of a query with a second step to come depend on the learned duration of that step,
         // which may change at any time: such a query is visited in every turn.
-        let second_step_ahead = class.second_step && query.first_whole.is_none();
+        let second_step_ahead = class.second_step && query.first_answer_whole.is_none();
         let mut due_at = f64::NEG_INFINITY;
         // Attempts that this turn sent or cancelled, or a first answer, may make a reply due in the next
         // turn.
         if idle && !reserve_due && !second_step_ahead && query.planned && !self.reply_may_be_due(query) {
-            let slack = REPLY_TICKS * self.set.tick;
+            let slack = REPLY_TICKS * self.settings.tick;
             // The times at which [`Aggregator::reply`] may decide otherwise. The time until which an answer
             // is useful is one of the first two.
             let reply_times = [
-                query.give_up_at - slack,
-                query.asked + class.aim - slack,
-                query.asked + LEAVE_WAIT * class.aim,
+                query.deadline - slack,
+                query.first_asked_at + class.aim - slack,
+                query.first_asked_at + OMIT_WAIT_SHARE * class.aim,
             ];
             let reply_at = reply_times
                 .into_iter()
@@ -203,38 +206,38 @@
     }
 
     /// Whether a reply may be due. The caller then evaluates all parts.
-    pub(crate) fn may_reply(&self, query: &Held) -> bool {
+    pub(crate) fn may_reply(&self, query: &QueryState) -> bool {
         let may_reply = self.visits_all || !query.planned || self.reply_may_be_due(query);
-        self.count_visits(if may_reply { query.pieces.len() } else { 0 });
+        self.count_visits(if may_reply { query.parts.len() } else { 0 });
         may_reply
     }
 
     /// Evaluates the conditions of [`Aggregator::reply`] from the running totals. False only if no reply is
     /// due, whatever the rounding errors of the totals are.
-    fn reply_may_be_due(&self, query: &Held) -> bool {
-        let (class, totals) = (&self.set.classes[query.class], &query.totals);
-        let (error, parts) = (totals.max_rounding_error(), query.pieces.len() - query.step_from);
-        let slack = REPLY_TICKS * self.set.tick;
-        let second_at = self.now + self.second(query) + slack;
-        let second = query.first_whole.is_some();
+    fn reply_may_be_due(&self, query: &QueryState) -> bool {
+        let (class, totals) = (&self.settings.classes[query.class], &query.totals);
+        let (error, parts) = (totals.max_rounding_error(), query.parts.len() - query.step_start);
+        let slack = REPLY_TICKS * self.settings.tick;
+        let second_at = self.now + self.second_step_time(query) + slack;
+        let second = query.first_answer_whole.is_some();
         // Whether a sum is certainly below, or above, a limit. Both are false for a sum that is not a number.
-        let below = |sum: f64, limit: f64| sum + ROUNDING + error < limit;
-        let above = |sum: f64, limit: f64| sum + ROUNDING > limit + error;
+        let below = |sum: f64, limit: f64| sum + TOLERANCE + error < limit;
+        let above = |sum: f64, limit: f64| sum + TOLERANCE > limit + error;
         let all_served = second && totals.step_served == parts;
         if parts > 0 && (all_served || !second && !below(totals.served_weight, class.need)) {
             return true;
         }
-        let suspect = self.spoiled(query);
+        let suspect = self.is_suspect(query);
         let possible = totals.possible_weight(suspect, true);
         if totals.step_served > 0 && !below(totals.served_weight, class.floor) {
-            let earns = if query.first_whole == Some(false) { 1.0 } else { class.partial_earns };
-            let share = earns / class.need.max(ROUNDING);
-            let aim_over = second_at >= query.asked + class.aim;
+            let earns = if query.first_answer_whole == Some(false) { 1.0 } else { class.partial_earns };
+            let share = earns / class.need.max(TOLERANCE);
+            let aim_over = second_at >= query.first_asked_at + class.aim;
             let can_be_whole = above(possible, if second { 1.0 } else { class.need });
-            let waits = self.now < query.asked + LEAVE_WAIT * class.aim;
+            let waits = self.now < query.first_asked_at + OMIT_WAIT_SHARE * class.aim;
             let more_may_come =
-                totals.possible_weight(suspect, waits) > totals.served_weight + ROUNDING + error;
-            if second_at >= query.give_up_at
+                totals.possible_weight(suspect, waits) > totals.served_weight + TOLERANCE + error;
+            if second_at >= query.deadline
                 || aim_over
                     && !(can_be_whole && (totals.served_weight + error) * share + error < class.late_worth)
                 || !more_may_come
@@ -243,7 +246,7 @@
             }
         }
         let any_served = totals.served_weight > error;
-        self.now >= query.give_up_at - slack
+        self.now >= query.deadline - slack
             || !(second && parts == 0 || above(possible, class.floor.min(class.need)))
             || suspect && !any_served
             || self.now >= self.useful_end(query)
@@ -252,14 +255,14 @@
     /// Weight that a query's answer would lack if this part were omitted too. The part is not in the index at
     /// that time. The running total is returned only if it is certainly within `limit` or above it; otherwise
     /// the exact sum.
-    pub(crate) fn missing_weight_if_omitted(&self, query: &Held, position: usize, limit: f64) -> f64 {
-        let sum = query.totals.missing_weight + query.pieces[position].weight;
+    pub(crate) fn missing_weight_if_omitted(&self, query: &QueryState, position: usize, limit: f64) -> f64 {
+        let sum = query.totals.missing_weight + query.parts[position].weight;
         if !self.visits_all && (sum - limit).abs() > query.totals.max_rounding_error() {
             return sum;
         }
-        self.count_visits(query.pieces.len());
+        self.count_visits(query.parts.len());
         let parts = query
-            .pieces
+            .parts
             .iter()
             .enumerate()
             .filter(|(other, p)| *other == position || is_missing(p, query.max_attempts));
@@ -267,41 +270,41 @@
     }
 
     /// Whether the latest attempt of any part that was sent has failed or is late.
-    pub(crate) fn any_failed_or_late(&self, query: &Held) -> bool {
+    pub(crate) fn any_failed_or_late(&self, query: &QueryState) -> bool {
         if !self.visits_all {
             return query.part_index.any_failed_or_late();
         }
-        self.count_visits(query.pieces.len());
-        query.pieces.iter().any(|p| self.troubled(query, p))
+        self.count_visits(query.parts.len());
+        query.parts.iter().any(|p| self.failed_or_late(query, p))
     }
 
     /// The longest time that an attempt at a served part took.
-    pub(crate) fn max_served_time(&self, query: &Held) -> Ms {
+    pub(crate) fn max_served_time(&self, query: &QueryState) -> Millis {
         if !self.visits_all {
             return query.totals.max_attempt_time;
         }
-        self.count_visits(query.pieces.len());
-        let attempts = query.pieces.iter().filter(|p| p.served).flat_map(|p| &p.tries);
+        self.count_visits(query.parts.len());
+        let attempts = query.parts.iter().filter(|p| p.served).flat_map(|p| &p.attempts);
         attempts.map(|t| t.took).fold(0.0, f64::max)
     }
 
     /// Number of attempts that lost the connection to a server that has been silent since, and number of
     /// served parts.
-    pub(crate) fn lost_and_served_counts(&self, query: &Held) -> (usize, usize) {
+    pub(crate) fn lost_and_served_counts(&self, query: &QueryState) -> (usize, usize) {
         if !self.visits_all {
-            return (query.broken, query.totals.served);
+            return (query.lost_to_silent, query.totals.served);
         }
-        self.count_visits(query.pieces.len());
-        let connection_lost = |t: &&Try| t.outcome == Some(Outcome::ConnectionLost);
-        let attempts = query.pieces.iter().flat_map(|p| &p.tries).filter(connection_lost);
-        let lost = attempts.filter(|t| self.fleet.servers[t.server].went_silent).count();
-        (lost, query.pieces.iter().filter(|p| p.served).count())
+        self.count_visits(query.parts.len());
+        let connection_lost = |t: &&Attempt| t.outcome == Some(Outcome::ConnectionLost);
+        let attempts = query.parts.iter().flat_map(|p| &p.attempts).filter(connection_lost);
+        let lost = attempts.filter(|t| self.fleet.servers[t.server].is_silent).count();
+        (lost, query.parts.iter().filter(|p| p.served).count())
     }
 
     /// Rebuilds the rows that contain one of these cells, or all rows. Every query is re-indexed if a shard
     /// has lost its last holder or got its first.
     pub(crate) fn rebuild_rows(&mut self, changed_cells: Option<BTreeSet<usize>>) {
-        let (cells, reach) = (self.set.cells, self.set.reach);
+        let (cells, reach) = (self.settings.cells, self.settings.reach);
         let (availability_changed, entries) = match changed_cells {
             Some(changed_cells) => self.fleet.update_rows(&changed_cells),
             None => (self.fleet.rebuild_rows(cells, reach), self.fleet.by_name.len()),
@@ -315,10 +318,11 @@
     /// Updates the queries with connections lost to a server that has just fallen silent or has answered
     /// again: such losses count against a query only while the server is silent.
     pub(crate) fn silence_changed(&mut self, server: usize) {
-        let silent = self.fleet.servers[server].went_silent;
+        let silent = self.fleet.servers[server].is_silent;
         for id in self.queries.schedule.lost_by_server.get(&server).into_iter().flatten() {
             if let Some(query) = self.queries.by_id.get_mut(id) {
-                query.broken = if silent { query.broken + 1 } else { query.broken - 1 };
+                query.lost_to_silent =
+                    if silent { query.lost_to_silent + 1 } else { query.lost_to_silent - 1 };
                 self.queries.schedule.changed.insert(id.clone());
                 self.visits.set(self.visits.get() + 1);
             }
--- a/crates/brookbend/tests/cold_sum.rs
+++ b/crates/brookbend/tests/cold_sum.rs
@@ -18,8 +18,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Site {
     /// Work of a part, and of the call that carries it.
-    part_work: Ms,
-    call_work: Ms,
+    part_work: Millis,
+    call_work: Millis,
     batch: usize,
     /// Number of servers of a cell, including the cold one.
     replicas: usize,
@@ -32,11 +32,11 @@
     /// All have run for a while, and are notified at the start.
     AtOnce,
     /// They are notified over this many milliseconds after the start, and send as before until then.
-    Over(Ms),
+    Over(Millis),
     /// All start at the same time as the cold server.
     StartTogether,
     /// They start over this many milliseconds after the cold server.
-    StartOver(Ms),
+    StartOver(Millis),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -64,25 +64,25 @@
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
     /// Random time in milliseconds until the next of events that occur at this rate per millisecond.
-    fn wait(&mut self, rate: f64) -> Ms {
+    fn wait(&mut self, rate: f64) -> Millis {
         -(1.0 - self.uniform()).ln() / rate
     }
 }
 
 /// An attempt that reached the cold server: when after its start, whether its sender had been notified, and
 /// its work.
-type Arrival = (Ms, bool, Ms);
+type Arrival = (Millis, bool, Millis);
 
 impl Simulation {
     /// Work of a request that carries one part.
-    fn request_work(&self) -> Ms {
+    fn request_work(&self) -> Millis {
         self.site.part_work + self.site.call_work
     }
 
     /// Capacity of the cold server at this age, as a share of its capacity once it is warm.
-    fn capacity(&self, age: Ms) -> f64 {
+    fn capacity(&self, age: Millis) -> f64 {
         let rule = self.site.rule;
-        rule.from + (1.0 - rule.from) * (age / rule.warm_after).clamp(0.0, 1.0)
+        rule.initial_capacity + (1.0 - rule.initial_capacity) * (age / rule.warm_after).clamp(0.0, 1.0)
     }
 
     /// The attempts that reached the cold server, in the order of time.
@@ -96,7 +96,7 @@
     /// The attempts of one aggregator that reached the cold server.
     fn arrivals_from(&self, rank: usize) -> Vec<Arrival> {
         let (site, rule) = (self.site, self.site.rule);
-        let set = Settings {
+        let settings = Settings {
             aggregators: self.aggregators,
             cells: 1,
             reach: 1,
@@ -104,7 +104,7 @@
             batch: site.batch,
             call_work: site.call_work,
             cold: rule,
-            second_copies: false,
+            hedging: false,
             ..ring()
         };
         let mut random =
@@ -123,8 +123,8 @@
         };
         let warm: Vec<String> = (1..site.replicas).map(|n| format!("b{n}")).collect();
         let restarted = Member { started: Some(start), ..member("c", 0) };
-        let mut harness = Harness::new(set.clone(), 0);
-        harness.aggregator = Aggregator::new(set, self.seed ^ (31 + rank as u64));
+        let mut harness = Harness::new(settings.clone(), 0);
+        harness.aggregator = Aggregator::new(settings, self.seed ^ (31 + rank as u64));
         harness.now = if start > 0.0 { 0.0 } else { delay };
         let members: Vec<Member> = warm
             .iter()
@@ -138,7 +138,7 @@
         if start > 0.0 {
             harness.step(1000.0 * random.uniform(), vec![]);
         }
-        let mut in_flight: Vec<(Ms, String, u32, bool)> = Vec::new();
+        let mut in_flight: Vec<(Millis, String, u32, bool)> = Vec::new();
         let mut attempts: BTreeMap<String, u32> = BTreeMap::new();
         let mut arrivals = Vec::new();
         let mut next = harness.now + random.wait(rate);
@@ -193,7 +193,7 @@
     /// times what arrived from notified aggregators, whichever is less, since these break the rule if they
     /// sent more than two thirds of it. The server's capacity counts as it is at the beginning of the window.
     fn worst_window(&self, arrivals: &[Arrival]) -> f64 {
-        let fall = self.site.rule.fall_after;
+        let fall = self.site.rule.overload_time;
         let mut first = 0;
         let mut worst: f64 = 0.0;
         let (mut all, mut from_notified) = (0.0, 0.0);
@@ -206,7 +206,7 @@
                 first += 1;
             }
             let capacity = self.capacity(at - fall);
-            let n = self.site.rule.fall_multiple * capacity * fall / self.request_work();
+            let n = self.site.rule.overload_factor * capacity * fall / self.request_work();
             worst = worst
                 .max(f64::min(all, 1.5 * from_notified) / self.request_work() / (n + 2.0 * n.sqrt() + 2.0));
         }
@@ -221,8 +221,8 @@
     }
 }
 
-fn rule(from: f64, warm_after: Ms, fall_multiple: f64, fall_after: Ms) -> ColdRule {
-    ColdRule { from, warm_after, fall_multiple, fall_after }
+fn rule(from: f64, warm_after: Millis, overload_factor: f64, overload_time: Millis) -> ColdRule {
+    ColdRule { initial_capacity: from, warm_after, overload_factor, overload_time }
 }
 
 /// An aggregator that has just started does not know the work of a part. That of a call says little about it:
--- a/crates/brookbend/tests/cold_turns.rs
+++ b/crates/brookbend/tests/cold_turns.rs
@@ -13,14 +13,15 @@
 
 /// Share of the capacity of the cell's servers, of one core each, that all aggregators together request.
 const LOAD: f64 = 0.75;
-const RULE: ColdRule = ColdRule { from: 0.18, warm_after: 16_000.0, fall_multiple: 2.5, fall_after: 1000.0 };
+const RULE: ColdRule =
+    ColdRule { initial_capacity: 0.18, warm_after: 16_000.0, overload_factor: 2.5, overload_time: 1000.0 };
 
 /// The properties of a deployment that matter here. Times in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct Site {
     /// Work of a part, and of the call that carries it.
-    part_work: Ms,
-    call_work: Ms,
+    part_work: Millis,
+    call_work: Millis,
     batch: usize,
     /// Number of servers of a cell, including the cold one.
     replicas: usize,
@@ -39,7 +40,12 @@
         batch: 8,
         replicas: 4,
         hedging: true,
-        rule: ColdRule { from: 0.21, warm_after: 17_000.0, fall_multiple: 3.0, fall_after: 1000.0 },
+        rule: ColdRule {
+            initial_capacity: 0.21,
+            warm_after: 17_000.0,
+            overload_factor: 3.0,
+            overload_time: 1000.0,
+        },
     },
 ];
 
@@ -50,13 +56,14 @@
     }
 
     /// Time until a warm server, which is lightly loaded, answers.
-    fn answer_time(&self) -> Ms {
+    fn answer_time(&self) -> Millis {
         self.part_work + self.call_work + 10.0
     }
 
     /// Capacity of the cold server at this age, as a share of its capacity once it is warm.
-    fn capacity(&self, age: Ms) -> f64 {
-        self.rule.from + (1.0 - self.rule.from) * (age / self.rule.warm_after).min(1.0)
+    fn capacity(&self, age: Millis) -> f64 {
+        self.rule.initial_capacity
+            + (1.0 - self.rule.initial_capacity) * (age / self.rule.warm_after).min(1.0)
     }
 }
 
@@ -69,7 +76,7 @@
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
     /// Random time in milliseconds until the next of events that occur at this rate per millisecond.
-    fn wait(&mut self, rate: f64) -> Ms {
+    fn wait(&mut self, rate: f64) -> Millis {
         -(1.0 - self.uniform()).ln() / rate
     }
 }
@@ -86,9 +93,9 @@
     surge: f64,
     others_leave: bool,
     in_part: bool,
-) -> Vec<Ms> {
+) -> Vec<Millis> {
     let rule = site.rule;
-    let set = Settings {
+    let settings = Settings {
         aggregators,
         classes: vec![Class { floor: if in_part { 0.5 } else { 1.0 }, ..class() }],
         cells: 1 + usize::from(in_part),
@@ -97,7 +104,7 @@
         batch: site.batch,
         call_work: site.call_work,
         cold: rule,
-        second_copies: site.hedging,
+        hedging: site.hedging,
         ..ring()
     };
     let warm: Vec<String> = (1..site.replicas).map(|n| format!("b{n}")).collect();
@@ -107,15 +114,15 @@
     for rank in 0..aggregators {
         let rate = site.parts_per_s() / 1000.0 * weight(rank) / total_weight;
         let mut random = Random(Pcg64Mcg::seed_from_u64(977 * rank as u64 + aggregators as u64));
-        let mut harness = Harness::new(set.clone(), 0);
-        harness.aggregator = Aggregator::new(set.clone(), 31 + rank as u64);
+        let mut harness = Harness::new(settings.clone(), 0);
+        harness.aggregator = Aggregator::new(settings.clone(), 31 + rank as u64);
         let mut list: Vec<Member> = warm.iter().map(|n| member(n, 0)).chain([member("c", 0)]).collect();
         list.extend(["d", "e", "f"].into_iter().filter(|_| in_part).map(|n| member(n, 1)));
         harness.step(5.0, vec![Event::List { kind: ListKind::Complete, members: list }]);
         // Aggregators begin their one-second intervals at different times.
         harness.step(1000.0 * random.uniform(), vec![]);
         let start = 20_000.0;
-        let mut in_flight: Vec<(Ms, String, u32)> = Vec::new();
+        let mut in_flight: Vec<(Millis, String, u32)> = Vec::new();
         let mut attempts: BTreeMap<String, u32> = BTreeMap::new();
         let mut next = harness.now + random.wait(rate);
         let mut notified = false;
@@ -167,12 +174,12 @@
 }
 
 /// The largest share of the rule's limit that any window reached.
-fn worst_window(site: Site, times: &[Ms]) -> f64 {
-    let window = |(last, at): (usize, &Ms)| {
-        let first = times.partition_point(|t| *t <= at - site.rule.fall_after);
+fn worst_window(site: Site, times: &[Millis]) -> f64 {
+    let window = |(last, at): (usize, &Millis)| {
+        let first = times.partition_point(|t| *t <= at - site.rule.overload_time);
         let work = (last + 1 - first) as f64 * site.part_work;
-        let capacity = (site.capacity((at - site.rule.fall_after).max(0.0)) + site.capacity(*at)) / 2.0;
-        work / (site.rule.fall_multiple * capacity * site.rule.fall_after)
+        let capacity = (site.capacity((at - site.rule.overload_time).max(0.0)) + site.capacity(*at)) / 2.0;
+        work / (site.rule.overload_factor * capacity * site.rule.overload_time)
     };
     times.iter().enumerate().map(window).fold(0.0, f64::max)
 }
@@ -180,11 +187,12 @@
 /// The largest share of a bound with tolerance for chance that any window reached: where the settings allow N
 /// requests of mean work in a window, a cold server fails at more than N + 3 sqrt(N) + 3. N follows from its
 /// capacity at the beginning of the window.
-fn worst_count(site: Site, times: &[Ms]) -> f64 {
-    let window = |(last, at): (usize, &Ms)| {
-        let first = times.partition_point(|t| *t <= at - site.rule.fall_after);
-        let capacity = site.capacity((at - site.rule.fall_after).max(0.0));
-        let n = site.rule.fall_multiple * capacity * site.rule.fall_after / (site.part_work + site.call_work);
+fn worst_count(site: Site, times: &[Millis]) -> f64 {
+    let window = |(last, at): (usize, &Millis)| {
+        let first = times.partition_point(|t| *t <= at - site.rule.overload_time);
+        let capacity = site.capacity((at - site.rule.overload_time).max(0.0));
+        let n = site.rule.overload_factor * capacity * site.rule.overload_time
+            / (site.part_work + site.call_work);
         (last + 1 - first) as f64 / (n + 3.0 * n.sqrt() + 3.0)
     };
     times.iter().enumerate().map(window).fold(0.0, f64::max)
@@ -192,7 +200,7 @@
 
 /// Work, including calls, that was sent in the first half of the cold period, as a share of the server's
 /// capacity.
-fn utilization(site: Site, times: &[Ms]) -> f64 {
+fn utilization(site: Site, times: &[Millis]) -> f64 {
     let half = site.rule.warm_after / 2.0;
     let work = times.iter().filter(|t| **t < half).count() as f64 * (site.part_work + site.call_work);
     work / (half * (site.capacity(0.0) + site.capacity(half)) / 2.0)
@@ -245,8 +253,8 @@
 
 #[test]
 fn answers_of_a_cold_server_do_not_count_for_the_rate_of_warm_ones() {
-    let set = Settings { aggregators: 1, cells: 2, reach: 1, shards: 2, cold: RULE, ..ring() };
-    let mut harness = Harness::new(set, 0);
+    let settings = Settings { aggregators: 1, cells: 2, reach: 1, shards: 2, cold: RULE, ..ring() };
+    let mut harness = Harness::new(settings, 0);
     let list = vec![Member { started: Some(0.0), ..member("cold", 0) }, member("warm", 1)];
     harness.step(5.0, vec![Event::List { kind: ListKind::Complete, members: list }]);
     let (mut answered, mut in_flight) = (0, Vec::new());
@@ -257,7 +265,7 @@
         // Parts that waited for the allowance are sent now, and are answered too.
         in_flight = sends(&harness.step(195.0, ends));
     }
-    let rate = harness.aggregator.recall(harness.now).served_rate;
+    let rate = harness.aggregator.snapshot(harness.now).served_rate;
     assert!(
         answered > 20 && rate < 0.1,
         "{answered} answers of the cold server count as {rate} cores of a warm one"
--- a/crates/brookbend/tests/common/random_day.rs
+++ b/crates/brookbend/tests/common/random_day.rs
@@ -3,38 +3,38 @@
 //! depends on its plan alone, which includes the seed.
 #![allow(dead_code)]
 
-use brookbend::Begun;
+use brookbend::NewClass;
 use brookbend::api::*;
-use brookbend::view::Bulk;
+use brookbend::view::OutcomeCounts;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::collections::BTreeMap;
 
 /// A decision module under test, which receives the events of a day.
 pub trait DecisionModule {
-    fn on_batch(&mut self, now: Ms, events: Vec<Event>) -> Vec<Action>;
-    fn retune(&mut self, set: Settings, begun: &[Begun]);
-    fn end_by(&mut self, at: Ms);
-    fn report_bulk(&mut self, now: Ms, class: ClassIndex, reports: &[Bulk]);
+    fn on_batch(&mut self, now: Millis, events: Vec<Event>) -> Vec<Action>;
+    fn reconfigure(&mut self, settings: Settings, new_classes: &[NewClass]);
+    fn end_by(&mut self, at: Millis);
+    fn report_outcomes(&mut self, now: Millis, class: ClassIndex, reports: &[OutcomeCounts]);
     /// Everything that can be observed of what it has learned, as text.
-    fn state(&self, now: Ms) -> String;
+    fn state(&self, now: Millis) -> String;
 }
 
 impl DecisionModule for brookbend::Aggregator {
-    fn on_batch(&mut self, now: Ms, events: Vec<Event>) -> Vec<Action> {
+    fn on_batch(&mut self, now: Millis, events: Vec<Event>) -> Vec<Action> {
         self.on_batch(now, events)
     }
-    fn retune(&mut self, set: Settings, begun: &[Begun]) {
-        self.retune(set, begun);
+    fn reconfigure(&mut self, settings: Settings, new_classes: &[NewClass]) {
+        self.reconfigure(settings, new_classes);
     }
-    fn end_by(&mut self, at: Ms) {
-        self.end_by(at);
+    fn end_by(&mut self, at: Millis) {
+        self.cap_deadlines(at);
     }
-    fn report_bulk(&mut self, now: Ms, class: ClassIndex, reports: &[Bulk]) {
-        self.report_bulk(now, class, reports);
+    fn report_outcomes(&mut self, now: Millis, class: ClassIndex, reports: &[OutcomeCounts]) {
+        self.report_outcomes(now, class, reports);
     }
-    fn state(&self, now: Ms) -> String {
-        serde_json::to_string(&self.recall(now)).unwrap() + &format!("{:?}", self.views(now))
+    fn state(&self, now: Millis) -> String {
+        serde_json::to_string(&self.snapshot(now)).unwrap() + &format!("{:?}", self.views(now))
     }
 }
 
@@ -52,7 +52,7 @@
     pub queries: f64,
     /// Share of attempts at a healthy server that fail or are slow.
     pub faults: f64,
-    pub second_copies: bool,
+    pub hedging: bool,
     pub cancel: bool,
     pub budget: bool,
     /// Whether the ids of queries and parts are names instead of numbers.
@@ -103,7 +103,7 @@
 /// An open query.
 struct OpenQuery {
     id: RequestId,
-    give_up_at: Ms,
+    deadline: Millis,
     group: u64,
     parts: usize,
     two_step: bool,
@@ -113,14 +113,14 @@
 pub struct Day {
     plan: Plan,
     random: Random,
-    pub now: Ms,
-    set: Settings,
+    pub now: Millis,
+    settings: Settings,
     nodes: Vec<Node>,
     open: Vec<OpenQuery>,
     /// Attempts in flight: when each ends, its part and number, its outcome, and when it was sent.
-    in_flight: Vec<(Ms, RequestId, u32, Outcome, Ms)>,
+    in_flight: Vec<(Millis, RequestId, u32, Outcome, Millis)>,
     sent: BTreeMap<RequestId, u32>,
-    wake_at: Ms,
+    wake_at: Millis,
     next: u64,
     events: Vec<Event>,
     /// Number of actions so far.
@@ -158,7 +158,7 @@
 }
 
 pub fn settings(plan: &Plan) -> Settings {
-    let budget = AttemptBudget { spare: 5.0, per_request: 0.2, span: 150.0 };
+    let budget = AttemptBudget { free_attempts: 5.0, per_request: 0.2, window: 150.0 };
     Settings {
         classes: classes(),
         tenants: vec![Tenant { quota_per_s: 50.0 }, Tenant { quota_per_s: 500.0 }],
@@ -166,21 +166,26 @@
         zone: Some(0),
         over_share_worth: 0.2,
         worth_by_work: plan.seed.is_multiple_of(2),
-        marks_again: plan.seed.is_multiple_of(3),
+        clients_mark_retries: plan.seed.is_multiple_of(3),
         cells: plan.cells,
         reach: plan.reach,
         shards: plan.cells * 2,
         batch: 4,
         call_work: 2.0,
         max_attempts: 2 + (plan.seed % 4) as u32,
-        second_copies: plan.second_copies,
+        hedging: plan.hedging,
         cancel: plan.cancel,
         max_retry_after: Some(50.0),
         tick: 5.0,
         list: if plan.seed.is_multiple_of(5) { ListSource::OnRequest } else { ListSource::Pushed },
-        ask_within: 1000.0,
+        list_deadline: 1000.0,
         budget: plan.budget.then_some(budget),
-        cold: ColdRule { from: 0.2, warm_after: 1500.0, fall_multiple: 2.0, fall_after: 300.0 },
+        cold: ColdRule {
+            initial_capacity: 0.2,
+            warm_after: 1500.0,
+            overload_factor: 2.0,
+            overload_time: 300.0,
+        },
     }
 }
 
@@ -200,7 +205,7 @@
             plan,
             random,
             now: 1000.0,
-            set: settings(&plan),
+            settings: settings(&plan),
             nodes,
             open: Vec::new(),
             in_flight: Vec::new(),
@@ -248,7 +253,7 @@
                 (false, true) => 0.1,
                 (false, false) => even,
             };
-            let shard = self.random.below(self.set.shards.max(1));
+            let shard = self.random.below(self.settings.shards.max(1));
             let hint = if self.random.is(0.3) { Some(self.random.within(0.1, 30.0)) } else { None };
             let id = self.part_id(group, i);
             self.events.push(Event::Part(Part { id, group, shard, weight, work_hint: hint }));
@@ -257,13 +262,13 @@
 
     /// Adds the arrival of a query of this class, or of a random class if `None`.
     pub fn query(&mut self, class: Option<usize>, parts: usize) {
-        let class = class.unwrap_or_else(|| self.random.below(self.set.classes.len()));
+        let class = class.unwrap_or_else(|| self.random.below(self.settings.classes.len()));
         self.next += 1;
         let (group, id) = (self.next, self.query_id(self.next));
-        let give_up = self.set.classes[class].give_up;
-        let again = self.random.is(0.1);
-        let client_timeout = if again { give_up * self.random.within(0.3, 0.9) } else { give_up };
-        let give_up_at = self.now + if self.random.is(0.1) { client_timeout * 0.5 } else { client_timeout };
+        let give_up = self.settings.classes[class].give_up;
+        let is_retry = self.random.is(0.1);
+        let client_timeout = if is_retry { give_up * self.random.within(0.3, 0.9) } else { give_up };
+        let deadline = self.now + if self.random.is(0.1) { client_timeout * 0.5 } else { client_timeout };
         let max_attempts = if self.random.is(0.1) { Some(self.random.below(4) as u32) } else { None };
         let tenant = TenantIndex(self.random.below(3));
         self.events.push(Event::Query(Query {
@@ -271,15 +276,15 @@
             group,
             class: ClassIndex(class),
             tenant,
-            give_up_at,
-            patience_ends: self.now + client_timeout,
+            deadline,
+            client_deadline: self.now + client_timeout,
             max_attempts,
-            again,
+            is_retry,
         }));
         let arrived = if self.random.is(0.03) { parts / 2 } else { parts };
         self.add_parts(group, 0, arrived);
-        let two_step = self.set.classes[class].second_step;
-        self.open.push(OpenQuery { id, give_up_at, group, parts: arrived, two_step });
+        let two_step = self.settings.classes[class].second_step;
+        self.open.push(OpenQuery { id, deadline, group, parts: arrived, two_step });
     }
 
     /// Gives a random server a random health.
@@ -343,34 +348,34 @@
 
     /// Gives all modules new settings.
     fn change_settings(&mut self, modules: &mut [&mut dyn DecisionModule]) {
-        let mut begun = Vec::new();
+        let mut new_classes = Vec::new();
         match self.random.below(7) {
-            0 => self.set.second_copies ^= true,
-            1 => self.set.cancel ^= true,
-            2 => self.set.max_attempts = 1 + self.random.below(5) as u32,
-            3 => self.set.reach = 1 + self.random.below(self.plan.cells),
+            0 => self.settings.hedging ^= true,
+            1 => self.settings.cancel ^= true,
+            2 => self.settings.max_attempts = 1 + self.random.below(5) as u32,
+            3 => self.settings.reach = 1 + self.random.below(self.plan.cells),
             4 => {
-                let of = self.random.below(self.set.classes.len());
-                self.set.classes[of].floor = self.set.classes[of].need * self.random.uniform();
-                self.set.classes[of].aim = self.random.within(50.0, 150.0);
+                let of = self.random.below(self.settings.classes.len());
+                self.settings.classes[of].floor = self.settings.classes[of].need * self.random.uniform();
+                self.settings.classes[of].aim = self.random.within(50.0, 150.0);
             }
-            5 if self.set.classes.len() < 12 => {
-                let of = self.random.below(self.set.classes.len());
-                self.set.classes.push(self.set.classes[of].clone());
-                let class = ClassIndex(self.set.classes.len() - 1);
-                begun.push(Begun { class, heir_of: Some(ClassIndex(of)) });
+            5 if self.settings.classes.len() < 12 => {
+                let of = self.random.below(self.settings.classes.len());
+                self.settings.classes.push(self.settings.classes[of].clone());
+                let class = ClassIndex(self.settings.classes.len() - 1);
+                new_classes.push(NewClass { class, inherits_from: Some(ClassIndex(of)) });
             }
             _ => {
-                let span = self.random.within(50.0, 400.0);
-                self.set.budget =
-                    Some(AttemptBudget { spare: 3.0, per_request: self.random.uniform(), span });
+                let window = self.random.within(50.0, 400.0);
+                self.settings.budget =
+                    Some(AttemptBudget { free_attempts: 3.0, per_request: self.random.uniform(), window });
             }
         }
-        modules.iter_mut().for_each(|d| d.retune(self.set.clone(), &begun));
+        modules.iter_mut().for_each(|d| d.reconfigure(self.settings.clone(), &new_classes));
     }
 
     /// The outcome of an attempt at a server, and the time in milliseconds after which it ends.
-    fn outcome(&mut self, node: &NodeId, within: Option<Ms>, give_up: Ms) -> (Outcome, Ms) {
+    fn outcome(&mut self, node: &NodeId, timeout: Option<Millis>, give_up: Millis) -> (Outcome, Millis) {
         let usual = self.random.within(2.0, 15.0);
         let health = self.nodes.iter().find(|n| n.member.node == *node).map_or(Health::Dead, |n| n.health);
         let slow = usual + self.random.within(30.0, 300.0);
@@ -393,7 +398,7 @@
             Health::Dead if faulty => (Outcome::NoConnection, 1.0),
             Health::Dead => (Outcome::ConnectionLost, usual),
         };
-        let timeout = within.unwrap_or(f64::INFINITY).min(give_up - self.now).max(0.0);
+        let timeout = timeout.unwrap_or(f64::INFINITY).min(give_up - self.now).max(0.0);
         if after > timeout { (Outcome::TimedOut, timeout) } else { (outcome, after) }
     }
 
@@ -402,8 +407,8 @@
         self.actions += actions.len();
         for action in actions {
             match action {
-                Action::Send { part, node, within } => {
-                    let (outcome, after) = self.outcome(node, *within, self.now + 400.0);
+                Action::Send { part, node, timeout } => {
+                    let (outcome, after) = self.outcome(node, *timeout, self.now + 400.0);
                     let attempt = self.sent.entry(part.clone()).or_default();
                     self.in_flight.push((self.now + after, part.clone(), *attempt, outcome, self.now));
                     *attempt += 1;
@@ -497,23 +502,23 @@
         }
         if self.random.is(0.02) && !self.open.is_empty() {
             let gone = self.open.remove(self.random.below(self.open.len()));
-            self.events.push(Event::Gone(gone.id));
+            self.events.push(Event::ClientGone(gone.id));
         }
         if self.random.is(0.01) {
             self.change_settings(modules);
         }
         if self.random.is(0.003) {
             let at = self.now + self.random.within(0.0, 100.0);
-            self.open.iter_mut().for_each(|o| o.give_up_at = o.give_up_at.min(at));
+            self.open.iter_mut().for_each(|o| o.deadline = o.deadline.min(at));
             modules.iter_mut().for_each(|d| d.end_by(at));
         }
         if self.random.is(0.01) {
             let node = self.nodes[self.random.below(self.nodes.len())].member.node.clone();
             let (served, errors, lost) = [(9, 0, 0), (0, 9, 0), (0, 0, 9), (3, 3, 3)][self.random.below(4)];
-            let bulk = Bulk { node, served, errors, lost, elapsed: Some(8.0) };
+            let bulk = OutcomeCounts { node, served, errors, lost, elapsed: Some(8.0) };
             modules
                 .iter_mut()
-                .for_each(|d| d.report_bulk(self.now, ClassIndex(0), std::slice::from_ref(&bulk)));
+                .for_each(|d| d.report_outcomes(self.now, ClassIndex(0), std::slice::from_ref(&bulk)));
         }
         self.batch(modules)
     }
--- a/crates/brookbend/tests/fleet/mod.rs
+++ b/crates/brookbend/tests/fleet/mod.rs
@@ -25,8 +25,8 @@
 #[derive(Clone, Debug)]
 pub struct Workload {
     /// Work of a part, and of the call that carries it.
-    pub part_work: Ms,
-    pub call_work: Ms,
+    pub part_work: Millis,
+    pub call_work: Millis,
     pub batch: usize,
     /// Number of parts that a server works on at once.
     pub cores: usize,
@@ -34,9 +34,9 @@
     pub holders: Vec<usize>,
     /// Number of parts of a query. The first ones are for one cell each.
     pub parts: usize,
-    pub aim: Ms,
+    pub aim: Millis,
     /// Network time of an attempt, to the server and back together.
-    pub network_time: Ms,
+    pub network_time: Millis,
     /// Share of the capacity of all servers that is requested before the start.
     pub load: f64,
     /// Number of warm servers in the list that no query needs.
@@ -49,11 +49,11 @@
     /// All have run for a while, and are notified at the start.
     AtOnce,
     /// They are notified over this many milliseconds after the start, and send as before until then.
-    Over(Ms),
+    Over(Millis),
     /// All start at the same time as the cold servers.
     StartTogether,
     /// They start over this many milliseconds after the cold servers.
-    StartOver(Ms),
+    StartOver(Millis),
 }
 
 #[derive(Clone, Debug)]
@@ -75,15 +75,15 @@
     /// Minimum share of the parts' weight for an answer; 1 means that all are needed.
     pub floor: f64,
     /// Time that aggregators which started earlier have run before the start.
-    pub warm_up: Ms,
+    pub warm_up: Millis,
     /// Time from the start to the end of the simulation.
-    pub duration: Ms,
+    pub duration: Millis,
     pub seed: u64,
 }
 
 /// An attempt that reached a cold server: when after its start, whether its sender had been notified, and its
 /// work.
-pub type Arrival = (Ms, bool, Ms);
+pub type Arrival = (Millis, bool, Millis);
 
 /// Numbers of queries that arrived after the start, by how they ended.
 #[derive(Clone, Copy, Debug, Default)]
@@ -120,7 +120,7 @@
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
     /// Random time in milliseconds until the next of events that occur at this rate per millisecond.
-    fn wait(&mut self, rate: f64) -> Ms {
+    fn wait(&mut self, rate: f64) -> Millis {
         -(1.0 - self.uniform()).ln() / rate
     }
 }
@@ -156,7 +156,7 @@
 /// A time of the simulation in nanoseconds, as an ordered type.
 type Nanos = u64;
 
-fn nanos(at: Ms) -> Nanos {
+fn nanos(at: Millis) -> Nanos {
     (at * 1e6).ceil() as Nanos
 }
 
@@ -197,34 +197,35 @@
     rate: f64,
     notified: bool,
     inbox: Vec<Event>,
-    last_turn: Ms,
+    last_turn: Millis,
     turn_at: Nanos,
     wake_at: Nanos,
     queries_received: u64,
     /// When each attempt in flight was sent, by query, part and number of the attempt.
-    in_flight: HashMap<(u64, usize, u32), Ms>,
+    in_flight: HashMap<(u64, usize, u32), Millis>,
     queries: HashMap<u64, OpenQuery>,
 }
 
 struct OpenQuery {
-    arrived: Ms,
+    arrived: Millis,
     /// Number of attempts by part.
     attempts: Vec<u32>,
 }
 
 impl Simulation {
     /// Work of a request that carries one part.
-    fn request_work(&self) -> Ms {
+    fn request_work(&self) -> Millis {
         self.workload.part_work + self.workload.call_work
     }
 
     /// Capacity of a server at this age, as a share of its capacity once it is warm.
-    fn capacity(&self, age: Ms) -> f64 {
-        self.rule.from + (1.0 - self.rule.from) * (age / self.rule.warm_after).clamp(0.0, 1.0)
+    fn capacity(&self, age: Millis) -> f64 {
+        self.rule.initial_capacity
+            + (1.0 - self.rule.initial_capacity) * (age / self.rule.warm_after).clamp(0.0, 1.0)
     }
 
     /// When the cold servers start.
-    fn start(&self) -> Ms {
+    fn start(&self) -> Millis {
         if matches!(self.notification, Notification::AtOnce | Notification::Over(_)) {
             self.warm_up
         } else {
@@ -250,7 +251,7 @@
             batch: self.workload.batch,
             call_work: self.workload.call_work,
             cold: self.rule,
-            second_copies: false,
+            hedging: false,
             ..ring()
         }
     }
@@ -264,7 +265,7 @@
     /// beginning. What counts is all work that arrived, or one and a half times what arrived from aggregators
     /// that had been notified, whichever is less: no aggregator can heed a start that it was not notified of.
     pub fn worst_window(&self, arrivals: &[Arrival]) -> f64 {
-        let fall = self.rule.fall_after;
+        let fall = self.rule.overload_time;
         let (mut first, mut worst) = (0, 0.0f64);
         let (mut all, mut from_notified) = (0.0, 0.0);
         for (at, notified, work) in arrivals {
@@ -276,7 +277,7 @@
                 first += 1;
             }
             let capacity = self.capacity(at - fall) * self.workload.cores as f64;
-            let n = self.rule.fall_multiple * capacity * fall / self.request_work();
+            let n = self.rule.overload_factor * capacity * fall / self.request_work();
             worst = worst
                 .max(f64::min(all, 1.5 * from_notified) / self.request_work() / (n + 2.0 * n.sqrt() + 2.0));
         }
@@ -306,8 +307,8 @@
     brokers: Vec<Broker>,
     /// Steps to come: when, at which aggregator, and what.
     steps: BinaryHeap<Reverse<(Nanos, usize, Step)>>,
-    start: Ms,
-    end: Ms,
+    start: Millis,
+    end: Millis,
     results: Results,
 }
 
@@ -445,7 +446,7 @@
     }
 
     /// Schedules the arrival of the next query at an aggregator.
-    fn schedule_query(&mut self, index: usize, now: Ms) {
+    fn schedule_query(&mut self, index: usize, now: Millis) {
         let broker = &mut self.brokers[index];
         let rate = if now >= self.start { broker.rate * self.simulation.surge } else { broker.rate };
         if rate > 0.0 {
@@ -455,7 +456,7 @@
     }
 
     /// A query arrives at an aggregator.
-    fn add_query(&mut self, index: usize, now: Ms) {
+    fn add_query(&mut self, index: usize, now: Millis) {
         let workload = &self.simulation.workload;
         let (cells, all_cells) =
             (workload.holders.len(), workload.holders.len() + usize::from(workload.unused_servers > 0));
@@ -463,16 +464,16 @@
         let number = broker.queries_received;
         broker.queries_received += 1;
         broker.queries.insert(number, OpenQuery { arrived: now, attempts: vec![0; workload.parts] });
-        let give_up_at = now + 4.0 * workload.aim;
+        let deadline = now + 4.0 * workload.aim;
         let mut events = vec![Event::Query(Query {
             id: query_id(number),
             group: number,
             class: ClassIndex(0),
             tenant: TenantIndex(0),
-            give_up_at,
-            patience_ends: give_up_at,
+            deadline,
+            client_deadline: deadline,
             max_attempts: None,
-            again: false,
+            is_retry: false,
         })];
         let first = (broker.random.uniform() * cells as f64) as usize;
         events.extend((0..workload.parts).map(|k| {
@@ -487,7 +488,7 @@
 
     /// Delivers an event to an aggregator, whose next turn is then due as soon as a tick has passed since its
     /// last one.
-    fn deliver(&mut self, index: usize, now: Ms, event: Event) {
+    fn deliver(&mut self, index: usize, now: Millis, event: Event) {
         let broker = &mut self.brokers[index];
         broker.inbox.push(event);
         let at = now.max(broker.last_turn + ring().tick);
@@ -516,12 +517,12 @@
         let mut sent_in_batch: HashMap<usize, usize> = HashMap::new();
         for action in broker.aggregator.on_batch(now, events) {
             match action {
-                Action::Send { part, node, within } => {
+                Action::Send { part, node, timeout } => {
                     let server = self.by_name[&node];
                     let bundled = sent_in_batch.entry(server).or_default();
                     let opens_call = bundled.is_multiple_of(self.simulation.workload.batch);
                     *bundled += 1;
-                    self.send(index, now, part_numbers(&part), server, within, opens_call);
+                    self.send(index, now, part_numbers(&part), server, timeout, opens_call);
                 }
                 Action::Cancel { part, attempt } => {
                     let (query, k) = part_numbers(&part);
@@ -549,10 +550,10 @@
     fn send(
         &mut self,
         index: usize,
-        now: Ms,
+        now: Millis,
         (query, part): (u64, usize),
         server: usize,
-        within: Option<Ms>,
+        timeout: Option<Millis>,
         opens_call: bool,
     ) {
         let (simulation, workload) = (self.simulation, &self.simulation.workload);
@@ -584,8 +585,8 @@
                 (done + workload.network_time, 0)
             }
         };
-        let restarts = |t: Ms| (target.cold.is_some() || target.leaves) && !started && t > self.start;
-        let time_out_at = within.map_or(f64::INFINITY, |within| now + within);
+        let restarts = |t: Millis| (target.cold.is_some() || target.leaves) && !started && t > self.start;
+        let time_out_at = timeout.map_or(f64::INFINITY, |timeout| now + timeout);
         let (at, outcome) = match (restarts(at), time_out_at < at) {
             (true, _) if self.start < time_out_at => (self.start + 1.0, 4),
             (_, true) => (time_out_at, 2),
@@ -595,7 +596,7 @@
     }
 
     /// Counts a query that has ended; `answered` holds whether its answer was whole, `None` if it has none.
-    fn end(&mut self, index: usize, now: Ms, query: u64, answered: Option<bool>) {
+    fn end(&mut self, index: usize, now: Millis, query: u64, answered: Option<bool>) {
         let Some(open) = self.brokers[index].queries.remove(&query) else { return };
         if open.arrived < self.start {
             return;
--- a/crates/brookbend/tests/fleet_cold.rs
+++ b/crates/brookbend/tests/fleet_cold.rs
@@ -6,12 +6,12 @@
 mod common;
 mod fleet;
 
-use brookbend::api::{ColdRule, Ms};
+use brookbend::api::{ColdRule, Millis};
 use fleet::*;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-const SECOND: Ms = 1000.0;
+const SECOND: Millis = 1000.0;
 
 /// Parts of tens of milliseconds, one per query: an aggregator has a part for a given server every few
 /// minutes.
@@ -53,7 +53,12 @@
 }
 
 fn simulation(workload: Workload, notification: Notification, skew: f64) -> Simulation {
-    let rule = ColdRule { from: 0.18, warm_after: 16.0 * SECOND, fall_multiple: 2.5, fall_after: SECOND };
+    let rule = ColdRule {
+        initial_capacity: 0.18,
+        warm_after: 16.0 * SECOND,
+        overload_factor: 2.5,
+        overload_time: SECOND,
+    };
     Simulation {
         cold_cells: workload.holders.len(),
         workload,
--- a/crates/brookbend/tests/fleet_zone.rs
+++ b/crates/brookbend/tests/fleet_zone.rs
@@ -5,10 +5,10 @@
 mod common;
 mod fleet;
 
-use brookbend::api::{ColdRule, Ms};
+use brookbend::api::{ColdRule, Millis};
 use fleet::*;
 
-const SECOND: Ms = 1000.0;
+const SECOND: Millis = 1000.0;
 
 /// Cells of two and of three servers; a query has a part in each cell.
 fn heavy(load: f64) -> Workload {
@@ -43,7 +43,12 @@
 }
 
 fn simulation(workload: Workload, notification: Notification, floor: f64) -> Simulation {
-    let rule = ColdRule { from: 0.18, warm_after: 16.0 * SECOND, fall_multiple: 2.5, fall_after: SECOND };
+    let rule = ColdRule {
+        initial_capacity: 0.18,
+        warm_after: 16.0 * SECOND,
+        overload_factor: 2.5,
+        overload_time: SECOND,
+    };
     Simulation {
         cold_cells: workload.holders.len(),
         // It takes half a minute to learn that a server is rarely needed.
--- a/crates/brookbend/tests/lost_alone.rs
+++ b/crates/brookbend/tests/lost_alone.rs
@@ -9,8 +9,8 @@
 /// Four cells of two servers. All of them answer so slowly that an attempt which is merely slow is not
 /// cancelled: another would take too large a share of the aim.
 fn slow_fleet() -> Harness {
-    let set = Settings { cells: 4, reach: 1, shards: 4, second_copies: false, ..ring() };
-    let mut harness = Harness::new(set, 2);
+    let settings = Settings { cells: 4, reach: 1, shards: 4, hedging: false, ..ring() };
+    let mut harness = Harness::new(settings, 2);
     for k in 0..160 {
         let parts = sends(&harness.ask(&format!("before{k}"), &[k % 4]));
         harness.step(160.0, parts.iter().map(|p| ended(&p.0, 0, Outcome::Served, 160.0)).collect());
--- a/crates/brookbend/tests/tail.rs
+++ b/crates/brookbend/tests/tail.rs
@@ -19,7 +19,7 @@
 
 const PARTS: usize = 690;
 const CELLS: usize = 400;
-const AIM: Ms = 75.0;
+const AIM: Millis = 75.0;
 
 /// Whether one server in a hundred is slow, or one attempt in a hundred.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -33,19 +33,19 @@
 #[derive(Default, Debug)]
 struct Results {
     /// By answered query: time until its final answer, and the share of its parts that were served.
-    answered: Vec<(Ms, f64)>,
+    answered: Vec<(Millis, f64)>,
     unserved: usize,
     /// When queries and parts arrived, and when attempts beyond a part's first were sent.
-    arrivals: Vec<Ms>,
-    extra_attempts: Vec<Ms>,
+    arrivals: Vec<Millis>,
+    extra_attempts: Vec<Millis>,
     /// Maximum number of attempts at one part in flight at the same time.
     max_concurrent: usize,
 }
 
 impl Results {
     /// Quantile of the times until the final answer.
-    fn wait(&self, share: f64) -> Ms {
-        let mut waits: Vec<Ms> = self.answered.iter().map(|a| a.0).collect();
+    fn wait(&self, share: f64) -> Millis {
+        let mut waits: Vec<Millis> = self.answered.iter().map(|a| a.0).collect();
         waits.sort_by(f64::total_cmp);
         waits.get((waits.len() as f64 * share) as usize).or(waits.last()).copied().unwrap_or(f64::NAN)
     }
@@ -62,10 +62,13 @@
     /// Maximum number over all windows by which further attempts exceed the budget; 0 or less if they never
     /// do.
     fn max_excess(&self, rule: &AttemptBudget) -> f64 {
-        let within =
-            |times: &[Ms], at: Ms| times.iter().filter(|t| **t > at - rule.span && **t <= at).count() as f64;
-        let excess = |at: &Ms| {
-            within(&self.extra_attempts, *at) - rule.spare - rule.per_request * within(&self.arrivals, *at)
+        let within = |times: &[Millis], at: Millis| {
+            times.iter().filter(|t| **t > at - rule.window && **t <= at).count() as f64
+        };
+        let excess = |at: &Millis| {
+            within(&self.extra_attempts, *at)
+                - rule.free_attempts
+                - rule.per_request * within(&self.arrivals, *at)
         };
         let times: BTreeSet<u64> = self.extra_attempts.iter().map(|at| at.to_bits()).collect();
         times.into_iter().map(|at| excess(&f64::from_bits(at))).fold(f64::NEG_INFINITY, f64::max)
@@ -81,8 +84,8 @@
     budget: Option<AttemptBudget>,
     queries: u64,
 ) -> Results {
-    let (second_copies, cancel) = allowed;
-    let set = Settings {
+    let (hedging, cancel) = allowed;
+    let settings = Settings {
         classes: vec![Class { aim: AIM, give_up: 300.0, ..class }],
         aggregators: 1600,
         cells: CELLS,
@@ -90,12 +93,12 @@
         shards: CELLS,
         call_work: 1.0,
         tick: 1.0,
-        second_copies,
+        hedging,
         cancel,
         budget,
         ..ring()
     };
-    let mut aggregator = Aggregator::new(set, 5);
+    let mut aggregator = Aggregator::new(settings, 5);
     let list = |n: usize| member(&format!("n{n:05}"), n % CELLS);
     let members = (0..CELLS * 3).map(list).collect();
     let mut events = vec![Event::List { kind: ListKind::Complete, members }];
@@ -103,27 +106,27 @@
     let slow: BTreeSet<NodeId> = (0..CELLS * 3).step_by(101).map(|n| node(&format!("n{n:05}"))).collect();
     let mut random = Random::new(9);
     let (mut results, mut now, mut arrived) = (Results::default(), 0.0, BTreeMap::new());
-    let mut in_flight: BTreeMap<(RequestId, u32), (Ms, Ms, Outcome)> = BTreeMap::new();
+    let mut in_flight: BTreeMap<(RequestId, u32), (Millis, Millis, Outcome)> = BTreeMap::new();
     let mut sent: BTreeMap<RequestId, u32> = BTreeMap::new();
     let mut served: BTreeMap<u64, BTreeSet<u32>> = BTreeMap::new();
     while now < 100.0 * (queries + 4) as f64 {
         let group = (now / 100.0) as u64 + 1;
         if now % 100.0 == 0.0 && group <= queries {
-            let give_up_at = now + 300.0;
+            let deadline = now + 300.0;
             let (id, class, tenant) = (RequestId::Query(group), ClassIndex(0), TenantIndex(0));
             let max_attempts = None;
-            let patience_ends = give_up_at;
+            let client_deadline = deadline;
             arrived.insert(group, now);
-            let again = false;
+            let is_retry = false;
             events.push(Event::Query(Query {
                 id,
                 group,
                 class,
                 tenant,
-                give_up_at,
-                patience_ends,
+                deadline,
+                client_deadline,
                 max_attempts,
-                again,
+                is_retry,
             }));
             let weight = 1.0 / PARTS as f64;
             for part in 0..PARTS as u32 {
@@ -135,16 +138,16 @@
         events.push(Event::Woken);
         for action in aggregator.on_batch(now, std::mem::take(&mut events)) {
             match action {
-                Action::Send { part, node, within } => {
+                Action::Send { part, node, timeout } => {
                     let attempt = sent.entry(part.clone()).or_default();
                     if *attempt > 0 {
                         results.extra_attempts.push(now);
                     }
                     let slow_attempt = if what == Servers { slow.contains(&node) } else { random.is(0.01) };
                     let time = random.within(2.0, 6.0) + if slow_attempt { 200.0 } else { 0.0 };
-                    let within = within.unwrap_or(300.0);
-                    let outcome = if time > within { Outcome::TimedOut } else { Outcome::Served };
-                    in_flight.insert((part.clone(), *attempt), (now, now + time.min(within), outcome));
+                    let timeout = timeout.unwrap_or(300.0);
+                    let outcome = if time > timeout { Outcome::TimedOut } else { Outcome::Served };
+                    in_flight.insert((part.clone(), *attempt), (now, now + time.min(timeout), outcome));
                     *attempt += 1;
                     let concurrent = in_flight.keys().filter(|(p, _)| *p == part).count();
                     results.max_concurrent = results.max_concurrent.max(concurrent);
@@ -198,12 +201,12 @@
 /// the module.
 #[test]
 fn further_attempts_stay_within_the_budget() {
-    let default_budget = AttemptBudget { spare: 6.0, per_request: 0.3, span: 1.5 * AIM };
+    let default_budget = AttemptBudget { free_attempts: 6.0, per_request: 0.3, window: 1.5 * AIM };
     let rules = [
         None,
-        Some(AttemptBudget { spare: 0.0, per_request: 0.02, span: 1000.0 }),
-        Some(AttemptBudget { spare: 3.0, per_request: 0.002, span: 250.0 }),
-        Some(AttemptBudget { spare: 0.0, per_request: 0.0, span: 1000.0 }),
+        Some(AttemptBudget { free_attempts: 0.0, per_request: 0.02, window: 1000.0 }),
+        Some(AttemptBudget { free_attempts: 3.0, per_request: 0.002, window: 250.0 }),
+        Some(AttemptBudget { free_attempts: 0.0, per_request: 0.0, window: 1000.0 }),
     ];
     for (what, rule) in [Servers, Attempts].into_iter().flat_map(|what| rules.map(|rule| (what, rule))) {
         for allowed in [(true, true), (true, false), (false, true), (false, false)] {
--- a/crates/brookbend/tests/visits.rs
+++ b/crates/brookbend/tests/visits.rs
@@ -5,13 +5,13 @@
 
 use brookbend::Aggregator;
 use brookbend::api::*;
-use brookbend::view::Bulk;
+use brookbend::view::OutcomeCounts;
 use common::*;
 
 /// An aggregator of wide queries over 400 cells of three servers each.
 struct WideFleet {
     aggregator: Aggregator,
-    now: Ms,
+    now: Millis,
     group: u64,
 }
 
@@ -26,19 +26,19 @@
     actions.iter().filter_map(send).collect()
 }
 
-fn wide_fleet(class: Class, set: Settings) -> WideFleet {
-    let set = Settings { classes: vec![class], cells: 400, reach: 1, shards: 400, ..set };
-    let mut aggregator = Aggregator::new(set.clone(), 3);
+fn wide_fleet(class: Class, settings: Settings) -> WideFleet {
+    let settings = Settings { classes: vec![class], cells: 400, reach: 1, shards: 400, ..settings };
+    let mut aggregator = Aggregator::new(settings.clone(), 3);
     let name = |n: usize| node(&format!("n{n:05}"));
-    let list = |n: usize| Member { node: name(n), ..member("", n % set.cells) };
-    let members = (0..set.cells * 3).map(list).collect();
+    let list = |n: usize| Member { node: name(n), ..member("", n % settings.cells) };
+    let members = (0..settings.cells * 3).map(list).collect();
     aggregator.on_batch(0.0, vec![Event::List { kind: ListKind::Complete, members }]);
     WideFleet { aggregator, now: 0.0, group: 0 }
 }
 
 impl WideFleet {
     /// A turn `after` milliseconds after the last one.
-    fn turn(&mut self, after: Ms, mut events: Vec<Event>) -> Vec<Action> {
+    fn turn(&mut self, after: Millis, mut events: Vec<Event>) -> Vec<Action> {
         self.now += after;
         events.push(Event::Woken);
         self.aggregator.on_batch(self.now, events)
@@ -48,16 +48,16 @@
     fn ask(&mut self, parts: usize) -> Sent {
         self.group += 1;
         let group = self.group;
-        let (give_up_at, weight) = (self.now + 4000.0, 1.0 / parts as f64);
+        let (deadline, weight) = (self.now + 4000.0, 1.0 / parts as f64);
         let mut events = vec![Event::Query(Query {
             id: RequestId::Query(group),
             group,
             class: ClassIndex(0),
             tenant: TenantIndex(0),
-            give_up_at,
-            patience_ends: give_up_at,
+            deadline,
+            client_deadline: deadline,
             max_attempts: None,
-            again: false,
+            is_retry: false,
         })];
         let part = |shard: usize| Part {
             id: RequestId::Part(group, shard as u32),
@@ -78,7 +78,7 @@
     }
 }
 
-fn end(part: &RequestId, attempt: u32, outcome: Outcome, elapsed: Ms) -> Event {
+fn end(part: &RequestId, attempt: u32, outcome: Outcome, elapsed: Millis) -> Event {
     Event::Ended { part: part.clone(), attempt, outcome, elapsed, load: None }
 }
 
@@ -128,10 +128,15 @@
 fn visits_are_linear_in_the_parts_if_all_servers_have_failed() {
     let partial = Class { floor: 0.6, ..class() };
     check_linear(|parts| {
-        let mut fleet = wide_fleet(partial.clone(), Settings { second_copies: false, ..ring() });
-        let lost =
-            |n: usize| Bulk { node: node(&format!("n{n:05}")), served: 0, errors: 0, lost: 8, elapsed: None };
-        fleet.aggregator.report_bulk(1.0, ClassIndex(0), &(0..1200).map(lost).collect::<Vec<_>>());
+        let mut fleet = wide_fleet(partial.clone(), Settings { hedging: false, ..ring() });
+        let lost = |n: usize| OutcomeCounts {
+            node: node(&format!("n{n:05}")),
+            served: 0,
+            errors: 0,
+            lost: 8,
+            elapsed: None,
+        };
+        fleet.aggregator.report_outcomes(1.0, ClassIndex(0), &(0..1200).map(lost).collect::<Vec<_>>());
         fleet.visits_during(|fleet| {
             let sent = fleet.ask(parts).len();
             assert!(sent < parts * 7 / 10 && sent > parts / 2, "{sent} of {parts}");
@@ -146,7 +151,7 @@
     for outcome in [Outcome::Full, Outcome::Error, Outcome::ConnectionLost] {
         for share in [0.0, 0.2, 1.0] {
             check_linear(|parts| {
-                let budget = AttemptBudget { spare: 0.0, per_request: share, span: 1000.0 };
+                let budget = AttemptBudget { free_attempts: 0.0, per_request: share, window: 1000.0 };
                 let mut fleet =
                     wide_fleet(class(), Settings { budget: Some(budget), max_attempts: 3, ..ring() });
                 fleet.visits_during(|fleet| {
@@ -174,7 +179,7 @@
 /// Once the budget of further attempts is used up, one visit in a turn finds that out for all late parts.
 #[test]
 fn late_parts_are_not_all_visited_without_a_budget() {
-    let budget = AttemptBudget { spare: 0.0, per_request: 0.0, span: 1000.0 };
+    let budget = AttemptBudget { free_attempts: 0.0, per_request: 0.0, window: 1000.0 };
     let mut fleet = wide_fleet(class(), Settings { budget: Some(budget), ..ring() });
     assert_eq!(fleet.ask(400).len(), 400);
     fleet.turn(600.0, vec![]);
