--- a/crates/brookbend/src/estimates/mod.rs
+++ b/crates/brookbend/src/estimates/mod.rs
@@ -16,8 +16,8 @@
 
 /// The highest worth per work that a query of any class has had, by the current estimates of the units of
 /// work. `density` is that of the current query, of class `class`: its worth per millisecond of work, or its
-/// worth alone if that grows with work already (`worth_by_work`). Classes whose unit is provisional look worth
-/// more than they will turn out to be, and count for their own queries only.
+/// worth alone if that grows with the work already (`worth_by_work`). Classes whose unit is provisional look
+/// worth more than they will turn out to be, and count for their own queries only.
 ///
 /// The best value of each class is kept per unit of work, not per millisecond: the unit grows with load, and
 /// a density that was measured with the unit of an idle hour would make every query of a busy hour look poor.
--- a/crates/brookbend/tests/common/random_day.rs
+++ b/crates/brookbend/tests/common/random_day.rs
@@ -376,27 +376,27 @@
 
     /// The outcome of an attempt at a server, and the time in milliseconds after which it ends.
     fn outcome(&mut self, node: &NodeId, timeout: Option<Millis>, give_up: Millis) -> (Outcome, Millis) {
-        let usual = self.random.within(2.0, 15.0);
+        let normal = self.random.within(2.0, 15.0);
         let health = self.nodes.iter().find(|n| n.member.node == *node).map_or(Health::Dead, |n| n.health);
-        let slow = usual + self.random.within(30.0, 300.0);
+        let slow = normal + self.random.within(30.0, 300.0);
         let faulty = self.random.is(self.plan.faults);
         let (outcome, after) = match health {
             Health::Healthy if faulty => match self.random.below(7) {
-                0 => (Outcome::Error, usual),
+                0 => (Outcome::Error, normal),
                 1 => (Outcome::Full, 1.0),
-                2 => (Outcome::ConnectionLost, usual),
+                2 => (Outcome::ConnectionLost, normal),
                 3 => (Outcome::NoConnection, 1.0),
                 4 => (Outcome::NotSent, 0.0),
                 5 => (Outcome::TimedOut, f64::INFINITY),
                 _ => (Outcome::Served, slow),
             },
-            Health::Healthy => (Outcome::Served, usual),
+            Health::Healthy => (Outcome::Served, normal),
             Health::Slow => (Outcome::Served, slow),
-            Health::Errors => (Outcome::Error, usual),
+            Health::Errors => (Outcome::Error, normal),
             Health::Full => (Outcome::Full, 1.0),
             Health::Silent => (Outcome::TimedOut, f64::INFINITY),
             Health::Dead if faulty => (Outcome::NoConnection, 1.0),
-            Health::Dead => (Outcome::ConnectionLost, usual),
+            Health::Dead => (Outcome::ConnectionLost, normal),
         };
         let timeout = timeout.unwrap_or(f64::INFINITY).min(give_up - self.now).max(0.0);
         if after > timeout { (Outcome::TimedOut, timeout) } else { (outcome, after) }
@@ -523,8 +523,8 @@
         self.batch(modules)
     }
 
-    /// Plays a whole day. Returns the number of actions, or the first difference between the modules.
-    pub fn play(plan: Plan, modules: &mut [&mut dyn DecisionModule]) -> Result<usize, String> {
+    /// Simulates a whole day. Returns the number of actions, or the first difference between the modules.
+    pub fn run(plan: Plan, modules: &mut [&mut dyn DecisionModule]) -> Result<usize, String> {
         let mut day = Day::new(plan);
         for n in 0..plan.steps {
             if let Some(difference) = day.step(modules) {
--- a/crates/brookbend/tests/schedule.rs
+++ b/crates/brookbend/tests/schedule.rs
@@ -8,13 +8,13 @@
 use proptest::prelude::*;
 use random_day::{Day, Plan, settings};
 
-/// Plays a day with a module that visits everything and one that visits what is due. The error is their first
+/// Simulates a day with a module that visits everything and one that visits what is due. The error is their first
 /// difference.
-fn play_both(plan: Plan) -> Result<usize, String> {
+fn run_both(plan: Plan) -> Result<usize, String> {
     let mut indexed = Aggregator::new(settings(&plan), plan.seed);
     let mut unindexed = Aggregator::new(settings(&plan), plan.seed);
     unindexed.visit_all();
-    Day::play(plan, &mut [&mut unindexed, &mut indexed])
+    Day::run(plan, &mut [&mut unindexed, &mut indexed])
 }
 
 fn plans() -> impl Strategy<Value = Plan> {
@@ -41,7 +41,7 @@
 
     #[test]
     fn visiting_what_is_due_decides_as_visiting_everything(plan in plans()) {
-        prop_assert_eq!(play_both(plan).err(), None);
+        prop_assert_eq!(run_both(plan).err(), None);
     }
 }
 
@@ -78,7 +78,7 @@
             budget: seed % 4 > 1,
             named: seed.is_multiple_of(5),
         };
-        let actions = play_both(plan).unwrap();
+        let actions = run_both(plan).unwrap();
         assert!(actions > 1000, "seed {seed}: {actions}");
     }
 }
