--- a/crates/brookbend/tests/fleet_cold.rs
+++ b/crates/brookbend/tests/fleet_cold.rs
@@ -1,7 +1,7 @@
-//! The work that 1,600 aggregators together send to a server that has just started stays within N + 2 sqrt(N)
-//! + 2 requests of mean work in any window, where the settings allow N. This holds for even and skewed
-//! traffic, for aggregators that start together, and for notifications of the start that are up to 12 s
-//! apart. Module `fleet` says why a few cells represent the fleet.
+//! The work that 1,600 aggregators together send to a server that has just started stays within
+//! N + 2 sqrt(N) + 2 requests of mean work in any window, where the settings allow N. This holds for even and
+//! skewed traffic, for aggregators that start together, and for notifications of the start that are up to
+//! 12 s apart. Module `fleet` says why a few cells represent the fleet.
 
 mod common;
 mod fleet;
