--- a/crates/brookbend/src/bin/brookbend-adapter.rs
+++ b/crates/brookbend/src/bin/brookbend-adapter.rs
@@ -11,14 +11,14 @@
 use std::process::ExitCode;
 
 /// Reads the id of a query or part.
-fn request_id(m: &JsonObject) -> Result<RequestId, String> {
-    Ok(RequestId::named(m.text("OpId")?))
+fn request_id(message: &JsonObject) -> Result<RequestId, String> {
+    Ok(RequestId::named(message.text("OpId")?))
 }
 
 /// Reads the entries of a list of servers.
-fn members(m: &JsonObject) -> Result<Vec<Member>, String> {
+fn members(message: &JsonObject) -> Result<Vec<Member>, String> {
     let mut members = Vec::new();
-    for entry in m.objects("MembersList")? {
+    for entry in message.objects("MembersList")? {
         let state = match entry.text("Mode")? {
             "in_service" => NodeState::Serving,
             "terminating" => NodeState::Draining,
@@ -37,44 +37,44 @@
 }
 
 /// Reads the arrival of a query or, if it names a shard (`Slice` from 0 on), of a part.
-fn arrival(m: &JsonObject, classes: usize) -> Result<Event, String> {
-    let class = m.whole("Service")? as usize;
+fn arrival(message: &JsonObject, classes: usize) -> Result<Event, String> {
+    let class = message.whole("Service")? as usize;
     if class >= classes {
-        return m.bad("Service", "names no class");
+        return message.bad("Service", "names no class");
     }
-    let shard = m.number("Slice")?;
-    let group = m.whole("GroupNo")?;
+    let shard = message.number("Slice")?;
+    let group = message.whole("GroupNo")?;
     if shard < 0.0 {
         return Ok(Event::Query(Query {
-            id: request_id(m)?,
+            id: request_id(message)?,
             group,
             class: ClassIndex(class),
-            tenant: TenantIndex(m.opt_whole("Team")?.unwrap_or(0) as usize),
-            deadline: m.number("GiveUpAt")?,
-            client_deadline: m.number("GiveUpAt")?,
+            tenant: TenantIndex(message.opt_whole("Team")?.unwrap_or(0) as usize),
+            deadline: message.number("GiveUpAt")?,
+            client_deadline: message.number("GiveUpAt")?,
             max_attempts: None,
-            is_retry: m.flag("AgainByClient")?,
+            is_retry: message.flag("AgainByClient")?,
         }));
     }
     Ok(Event::Part(Part {
-        id: request_id(m)?,
+        id: request_id(message)?,
         group,
-        shard: m.whole("Slice")? as usize,
-        weight: m.number("Measure")?,
-        work_hint: m.opt_number("Effort")?,
+        shard: message.whole("Slice")? as usize,
+        weight: message.number("Measure")?,
+        work_hint: message.opt_number("Effort")?,
     }))
 }
 
 /// Number of requests that a server holds according to its load report; `None` if the report is absent or
 /// malformed.
-fn reported_requests(m: &JsonObject) -> Option<f64> {
-    let report = m.get("Gauge")?.as_object()?;
+fn reported_requests(message: &JsonObject) -> Option<f64> {
+    let report = message.get("Gauge")?.as_object()?;
     report.get("rif").or_else(|| report.get("q"))?.as_f64().filter(|n| *n >= 0.0)
 }
 
 /// Reads how an attempt ended.
-fn outcome(m: &JsonObject) -> Result<Outcome, String> {
-    Ok(match m.text("Rc")? {
+fn outcome(message: &JsonObject) -> Result<Outcome, String> {
+    Ok(match message.text("Rc")? {
         "served" => Outcome::Served,
         "server_error" => Outcome::Error,
         "turned_away" => Outcome::Full,
@@ -83,7 +83,7 @@
         "connection_lost" => Outcome::ConnectionLost,
         "called_off" => Outcome::Cancelled,
         "not_sent" => Outcome::NotSent,
-        _ => return m.bad("Rc", "is unknown"),
+        _ => return message.bad("Rc", "is unknown"),
     })
 }
 
@@ -128,59 +128,59 @@
 
 impl Adapter {
     /// Applies a message of the open batch. The error names the faulty field.
-    fn receive(&mut self, m: &JsonObject) -> Result<(), String> {
-        if m.name() == "Ledger" {
-            self.lists.insert(m.whole("Slot")?, members(m)?);
+    fn receive(&mut self, message: &JsonObject) -> Result<(), String> {
+        if message.name() == "Ledger" {
+            self.lists.insert(message.whole("Slot")?, members(message)?);
             return Ok(());
         }
-        let number = m.whole("I")?;
-        if m.name() == "Launch" {
-            let settings = settings::decode(&m.inner("Env")?)?.settings;
+        let number = message.whole("I")?;
+        if message.name() == "Launch" {
+            let settings = settings::decode(&message.inner("Env")?)?.settings;
             let classes = settings.classes.len();
-            let aggregator = Aggregator::new(settings, m.whole("RngSeed")?);
+            let aggregator = Aggregator::new(settings, message.whole("RngSeed")?);
             self.instances.insert(number, Instance { aggregator, classes });
             self.inbox.insert(number, Vec::new());
             return Ok(());
         }
         let Some(instance) = self.instances.get(&number) else {
-            return m.bad("I", "names an instance that was never launched");
+            return message.bad("I", "names an instance that was never launched");
         };
-        let event = match m.name() {
+        let event = match message.name() {
             "Destroy" => {
                 self.instances.remove(&number);
                 self.inbox.remove(&number);
                 return Ok(());
             }
             "PeersKnown" => {
-                let kind = match m.text("Mode")? {
+                let kind = match message.text("Mode")? {
                     "diff" => ListKind::Changes,
                     "snapshot" => ListKind::Complete,
                     "disk" => ListKind::Disk,
                     "error" => ListKind::Error,
-                    _ => return m.bad("Mode", "is unknown"),
+                    _ => return message.bad("Mode", "is unknown"),
                 };
                 let members = match kind {
                     ListKind::Error => Vec::new(),
-                    _ => match self.lists.get(&m.whole("Slot")?) {
+                    _ => match self.lists.get(&message.whole("Slot")?) {
                         Some(members) => members.clone(),
-                        None => return m.bad("Slot", "names a list that was never declared"),
+                        None => return message.bad("Slot", "names a list that was never declared"),
                     },
                 };
                 Some(Event::List { kind, members })
             }
-            "Order" => Some(arrival(m, instance.classes)?),
+            "Order" => Some(arrival(message, instance.classes)?),
             "ReportBack" => Some(Event::Ended {
-                part: request_id(m)?,
-                attempt: m.whole("Hop")? as u32,
-                outcome: outcome(m)?,
-                elapsed: m.number("Rtt")?,
-                load: reported_requests(m),
+                part: request_id(message)?,
+                attempt: message.whole("Hop")? as u32,
+                outcome: outcome(message)?,
+                elapsed: message.number("Rtt")?,
+                load: reported_requests(message),
             }),
-            "Dropped" => Some(Event::ClientGone(request_id(m)?)),
-            "DeadlineHit" => m.whole("Ref").map(|_| Some(Event::Woken))?,
+            "Dropped" => Some(Event::ClientGone(request_id(message)?)),
+            "DeadlineHit" => message.whole("Ref").map(|_| Some(Event::Woken))?,
             // Part of the protocol, but of no use to the module.
             "Begun" | "Probed" | "Memo" => None,
-            _ => return Err(format!("{}: the message is unknown", m.name())),
+            _ => return Err(format!("{}: the message is unknown", message.name())),
         };
         self.inbox.entry(number).or_default().extend(event);
         Ok(())
@@ -218,11 +218,11 @@
         let Some(name) = fields.get("t").and_then(Value::as_str) else {
             return Err(format!("{}: message: field t is missing or not a string", place(&last)));
         };
-        let m = JsonObject::new(name, fields);
+        let message = JsonObject::new(name, fields);
         match name {
             "Tick" => {
-                last = json!(m.whole("n").map_err(|e| format!("{}: {e}", place(&last)))?);
-                let now = m.number("Moment").map_err(|e| format!("{}: {e}", place(&last)))?;
+                last = json!(message.whole("n").map_err(|e| format!("{}: {e}", place(&last)))?);
+                let now = message.number("Moment").map_err(|e| format!("{}: {e}", place(&last)))?;
                 if open.replace((now, last.clone())).is_some() {
                     return Err(format!("{}: Tick: the batch before is still open", place(&last)));
                 }
@@ -234,7 +234,7 @@
                 adapter.reply(now, &batch, &mut out).map_err(|e| format!("{}: {e}", place(&last)))?;
             }
             _ if open.is_none() => return Err(format!("{}: {name}: no batch is open", place(&last))),
-            _ => adapter.receive(&m).map_err(|e| format!("{}: {e}", place(&last)))?,
+            _ => adapter.receive(&message).map_err(|e| format!("{}: {e}", place(&last)))?,
         }
     }
     Ok(())
