--- a/crates/brookbend/src/bin/brookbend-adapter.rs
+++ b/crates/brookbend/src/bin/brookbend-adapter.rs
@@ -1,4 +1,5 @@
-//! Carries the bench's wire (one JSON value a line) to the module's interface and back. It decides nothing.
+//! Translates between the bench's wire protocol, one JSON value per line, and the interface of the decision
+//! module. It decides nothing itself.
 #![forbid(unsafe_code)]
 
 use brookbend::Aggregator;
@@ -9,66 +10,71 @@
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-fn request(m: &JsonObject) -> Result<RequestId, String> {
-    Ok(RequestId::named(m.text("OpId")?))
+/// Reads the id of a query or part.
+fn request_id(message: &JsonObject) -> Result<RequestId, String> {
+    Ok(RequestId::named(message.text("OpId")?))
 }
 
-fn members(m: &JsonObject) -> Result<Vec<Member>, String> {
+/// Reads the entries of a list of servers.
+fn members(message: &JsonObject) -> Result<Vec<Member>, String> {
     let mut members = Vec::new();
-    for e in m.objects("MembersList")? {
-        let state = match e.text("Mode")? {
+    for entry in message.objects("MembersList")? {
+        let state = match entry.text("Mode")? {
             "in_service" => NodeState::Serving,
             "terminating" => NodeState::Draining,
             "terminated" => NodeState::Gone,
-            _ => return e.bad("Mode", "is unknown"),
+            _ => return entry.bad("Mode", "is unknown"),
         };
         members.push(Member {
-            node: NodeId(e.text("Node")?.into()),
-            cell: e.opt_whole("Position")?.unwrap_or(0) as usize,
+            node: NodeId(entry.text("Node")?.into()),
+            cell: entry.opt_whole("Position")?.unwrap_or(0) as usize,
             state,
-            zone: e.opt_whole("Dc")?.map(|z| z as usize),
-            started: e.opt_number("StartTime")?.filter(|t| *t > 0.0),
+            zone: entry.opt_whole("Dc")?.map(|z| z as usize),
+            started: entry.opt_number("StartTime")?.filter(|t| *t > 0.0),
         });
     }
     Ok(members)
 }
 
-fn order(m: &JsonObject, classes: usize) -> Result<Event, String> {
-    let class = m.whole("Service")? as usize;
+/// Reads the arrival of a query or, if it names a shard (`Slice` from 0 on), of a part.
+fn arrival(message: &JsonObject, classes: usize) -> Result<Event, String> {
+    let class = message.whole("Service")? as usize;
     if class >= classes {
-        return m.bad("Service", "names no class");
+        return message.bad("Service", "names no class");
     }
-    let shard = m.number("Slice")?;
-    let group = m.whole("GroupNo")?;
+    let shard = message.number("Slice")?;
+    let group = message.whole("GroupNo")?;
     if shard < 0.0 {
         return Ok(Event::Query(Query {
-            id: request(m)?,
+            id: request_id(message)?,
             group,
             class: ClassIndex(class),
-            tenant: TenantIndex(m.opt_whole("Team")?.unwrap_or(0) as usize),
-            deadline: m.number("GiveUpAt")?,
-            client_deadline: m.number("GiveUpAt")?,
+            tenant: TenantIndex(message.opt_whole("Team")?.unwrap_or(0) as usize),
+            deadline: message.number("GiveUpAt")?,
+            client_deadline: message.number("GiveUpAt")?,
             max_attempts: None,
-            is_retry: m.flag("AgainByClient")?,
+            is_retry: message.flag("AgainByClient")?,
         }));
     }
     Ok(Event::Part(Part {
-        id: request(m)?,
+        id: request_id(message)?,
         group,
-        shard: m.whole("Slice")? as usize,
-        weight: m.number("Measure")?,
-        work_hint: m.opt_number("Effort")?,
+        shard: message.whole("Slice")? as usize,
+        weight: message.number("Measure")?,
+        work_hint: message.opt_number("Effort")?,
     }))
 }
 
-/// Requests held by a server as its load report has it; a report that is odd is as none.
-fn held(m: &JsonObject) -> Option<f64> {
-    let report = m.get("Gauge")?.as_object()?;
+/// Number of requests that a server holds according to its load report; `None` if the report is absent or
+/// malformed.
+fn reported_requests(message: &JsonObject) -> Option<f64> {
+    let report = message.get("Gauge")?.as_object()?;
     report.get("rif").or_else(|| report.get("q"))?.as_f64().filter(|n| *n >= 0.0)
 }
 
-fn outcome(m: &JsonObject) -> Result<Outcome, String> {
-    Ok(match m.text("Rc")? {
+/// Reads how an attempt ended.
+fn outcome(message: &JsonObject) -> Result<Outcome, String> {
+    Ok(match message.text("Rc")? {
         "served" => Outcome::Served,
         "server_error" => Outcome::Error,
         "turned_away" => Outcome::Full,
@@ -77,10 +83,11 @@
         "connection_lost" => Outcome::ConnectionLost,
         "called_off" => Outcome::Cancelled,
         "not_sent" => Outcome::NotSent,
-        _ => return m.bad("Rc", "is unknown"),
+        _ => return message.bad("Rc", "is unknown"),
     })
 }
 
+/// The message that carries out an action of an instance.
 fn action_line(instance: u64, action: &Action) -> Value {
     match action {
         Action::Send { part, node, timeout } => {
@@ -93,8 +100,8 @@
             json!({"t": "Answer", "I": instance, "OpId": query.to_string(), "Full": whole})
         }
         Action::Refuse { query, retry_after } => {
-            let back = retry_after.unwrap_or(0.0);
-            json!({"t": "NotNow", "I": instance, "OpId": query.to_string(), "ComeBack": back})
+            let come_back = retry_after.unwrap_or(0.0);
+            json!({"t": "NotNow", "I": instance, "OpId": query.to_string(), "ComeBack": come_back})
         }
         Action::Fail { query } => json!({"t": "FinishError", "I": instance, "OpId": query.to_string()}),
         Action::Watch => json!({"t": "KeepInformed", "I": instance, "Full": true}),
@@ -102,79 +109,84 @@
     }
 }
 
-/// An aggregator and the number of classes its settings named.
+/// One aggregator, and the number of classes in its settings.
 struct Instance {
     aggregator: Aggregator,
     classes: usize,
 }
 
-/// All that lives between two batches.
+/// State that is kept from one batch to the next.
 #[derive(Default)]
 struct Adapter {
+    /// By the number that messages give in `I`.
     instances: BTreeMap<u64, Instance>,
+    /// Declared lists of servers, by the number that messages give in `Slot`.
     lists: BTreeMap<u64, Vec<Member>>,
+    /// By instance: the events of the open batch.
     inbox: BTreeMap<u64, Vec<Event>>,
 }
 
 impl Adapter {
-    fn hear(&mut self, m: &JsonObject) -> Result<(), String> {
-        if m.name() == "Ledger" {
-            self.lists.insert(m.whole("Slot")?, members(m)?);
+    /// Applies a message of the open batch. The error names the faulty field.
+    fn receive(&mut self, message: &JsonObject) -> Result<(), String> {
+        if message.name() == "Ledger" {
+            self.lists.insert(message.whole("Slot")?, members(message)?);
             return Ok(());
         }
-        let number = m.whole("I")?;
-        if m.name() == "Launch" {
-            let settings = settings::decode(&m.inner("Env")?)?.settings;
+        let number = message.whole("I")?;
+        if message.name() == "Launch" {
+            let settings = settings::decode(&message.inner("Env")?)?.settings;
             let classes = settings.classes.len();
-            let aggregator = Aggregator::new(settings, m.whole("RngSeed")?);
+            let aggregator = Aggregator::new(settings, message.whole("RngSeed")?);
             self.instances.insert(number, Instance { aggregator, classes });
             self.inbox.insert(number, Vec::new());
             return Ok(());
         }
         let Some(instance) = self.instances.get(&number) else {
-            return m.bad("I", "names an instance that was never launched");
+            return message.bad("I", "names an instance that was never launched");
         };
-        let event = match m.name() {
+        let event = match message.name() {
             "Destroy" => {
                 self.instances.remove(&number);
                 self.inbox.remove(&number);
                 return Ok(());
             }
             "PeersKnown" => {
-                let kind = match m.text("Mode")? {
+                let kind = match message.text("Mode")? {
                     "diff" => ListKind::Changes,
                     "snapshot" => ListKind::Complete,
                     "disk" => ListKind::Disk,
                     "error" => ListKind::Error,
-                    _ => return m.bad("Mode", "is unknown"),
+                    _ => return message.bad("Mode", "is unknown"),
                 };
                 let members = match kind {
                     ListKind::Error => Vec::new(),
-                    _ => match self.lists.get(&m.whole("Slot")?) {
+                    _ => match self.lists.get(&message.whole("Slot")?) {
                         Some(members) => members.clone(),
-                        None => return m.bad("Slot", "names a list that was never declared"),
+                        None => return message.bad("Slot", "names a list that was never declared"),
                     },
                 };
                 Some(Event::List { kind, members })
             }
-            "Order" => Some(order(m, instance.classes)?),
+            "Order" => Some(arrival(message, instance.classes)?),
             "ReportBack" => Some(Event::Ended {
-                part: request(m)?,
-                attempt: m.whole("Hop")? as u32,
-                outcome: outcome(m)?,
-                elapsed: m.number("Rtt")?,
-                load: held(m),
+                part: request_id(message)?,
+                attempt: message.whole("Hop")? as u32,
+                outcome: outcome(message)?,
+                elapsed: message.number("Rtt")?,
+                load: reported_requests(message),
             }),
-            "Dropped" => Some(Event::ClientGone(request(m)?)),
-            "DeadlineHit" => m.whole("Ref").map(|_| Some(Event::Woken))?,
-            // Not asked for, but part of the wire.
+            "Dropped" => Some(Event::ClientGone(request_id(message)?)),
+            "DeadlineHit" => message.whole("Ref").map(|_| Some(Event::Woken))?,
+            // Part of the protocol, but of no use to the module.
             "Begun" | "Probed" | "Memo" => None,
-            _ => return Err(format!("{}: the message is unknown", m.name())),
+            _ => return Err(format!("{}: the message is unknown", message.name())),
         };
         self.inbox.entry(number).or_default().extend(event);
         Ok(())
     }
 
+    /// Runs the open batch of each instance, and writes the actions and the line that ends the batch.
     fn reply(&mut self, now: Millis, batch: &Value, out: &mut impl Write) -> io::Result<()> {
         for (number, events) in std::mem::take(&mut self.inbox) {
             let Some(instance) = self.instances.get_mut(&number) else { continue };
@@ -187,13 +199,13 @@
     }
 }
 
-/// Reads batches until the input ends. The error is the line to print.
+/// Reads batches and answers each of them until the input ends. The error text names the line and the batch.
 fn serve(input: impl BufRead, mut out: impl Write) -> Result<(), String> {
     let mut adapter = Adapter::default();
     let mut open: Option<(Millis, Value)> = None;
     let mut last = Value::Null;
-    for (at, line) in input.lines().enumerate() {
-        let place = |batch: &Value| format!("line {}, batch {batch}", at + 1);
+    for (index, line) in input.lines().enumerate() {
+        let place = |batch: &Value| format!("line {}, batch {batch}", index + 1);
         let line = line.map_err(|e| format!("{}: cannot be read: {e}", place(&last)))?;
         if line.trim().is_empty() {
             continue;
@@ -206,11 +218,11 @@
         let Some(name) = fields.get("t").and_then(Value::as_str) else {
             return Err(format!("{}: message: field t is missing or not a string", place(&last)));
         };
-        let m = JsonObject::new(name, fields);
+        let message = JsonObject::new(name, fields);
         match name {
             "Tick" => {
-                last = json!(m.whole("n").map_err(|e| format!("{}: {e}", place(&last)))?);
-                let now = m.number("Moment").map_err(|e| format!("{}: {e}", place(&last)))?;
+                last = json!(message.whole("n").map_err(|e| format!("{}: {e}", place(&last)))?);
+                let now = message.number("Moment").map_err(|e| format!("{}: {e}", place(&last)))?;
                 if open.replace((now, last.clone())).is_some() {
                     return Err(format!("{}: Tick: the batch before is still open", place(&last)));
                 }
@@ -222,7 +234,7 @@
                 adapter.reply(now, &batch, &mut out).map_err(|e| format!("{}: {e}", place(&last)))?;
             }
             _ if open.is_none() => return Err(format!("{}: {name}: no batch is open", place(&last))),
-            _ => adapter.hear(&m).map_err(|e| format!("{}: {e}", place(&last)))?,
+            _ => adapter.receive(&message).map_err(|e| format!("{}: {e}", place(&last)))?,
         }
     }
     Ok(())
--- a/crates/brookbend/src/choice.rs
+++ b/crates/brookbend/src/choice.rs
@@ -1,7 +1,6 @@
 //! All decisions of an aggregator, in the order of a batch: the server list, arrivals, rows, the choice of a
 //! server, attempts, replies, admission, server health, cold servers and the width controller.
-//! `api.rs` is the interface; `state.rs`, `query_table.rs` and `fleet.rs` hold the records; `schedule.rs` and
-//! `part_index.rs` select what a turn visits.
+//! `api.rs` is the interface; `state.rs` and `fleet.rs` hold the records.
 
 use crate::api::*;
 use crate::demand::{Demand, mean_grants_within};
