--- a/crates/brookbend/src/choice.rs
+++ b/crates/brookbend/src/choice.rs
@@ -129,7 +129,7 @@
 /// Ticks between two wake-ups while no query is open.
 const IDLE_TICKS: f64 = 50.0;
 
-/// The decisions of one aggregator.
+/// Makes the decisions of one aggregator.
 pub struct Aggregator {
     pub(crate) settings: Settings,
     random: Random,
@@ -144,18 +144,18 @@
     pub(crate) tenant_arrivals: Vec<VecDeque<Millis>>,
     watch_at: Option<Millis>,
     watch_wait: Millis,
-    /// When the next batch is due.
+    /// Time at which the next batch is due.
     wake_at: Millis,
     pub(crate) shortest_aim: Millis,
-    /// What this aggregator itself needs; nothing until its caller tells.
+    /// Time that this aggregator itself needs; zero until its caller sets it.
     pub(crate) overhead: Overhead,
-    /// Whether each turn looks at everything, and how much was looked at.
+    /// Whether each turn visits everything, and the number of visits.
     pub(crate) all: bool,
     pub(crate) looks: Cell<u64>,
 }
 
 impl Aggregator {
-    /// An aggregator that knows only its settings. The same seed and events give the same actions.
+    /// Creates an aggregator that knows only its settings. The same seed and events give the same actions.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let width = Width { rows: settings.reach.max(1) as f64, ..Default::default() };
         let work = Work::new(settings.call_work);
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Takes all events of one moment and says what to do. Sends are decided last, so that they bundle.
+    /// Applies all events of one moment and returns the actions. Sends come last, so that they share calls.
     pub fn on_batch(&mut self, now: Millis, events: Vec<Event>) -> Vec<Action> {
         self.now = now;
         self.desk.stood = now > self.wake_at + PAUSE_AIM * self.shortest_aim;
@@ -204,7 +204,7 @@
                 Event::ClientGone(id) => {
                     if let Some(q) = self.desk.queries.remove(&id) {
                         self.learned[q.class].client_timeout.note_unserved(q.first_asked_at);
-                        self.forget(&id, &q);
+                        self.close_query(&id, &q);
                     }
                 }
                 Event::Unreachable(part) => self.put_out_of_reach(&part),
@@ -239,7 +239,7 @@
 
     fn apply_list(&mut self, kind: ListKind, members: Vec<Member>) {
         if kind == ListKind::Error {
-            // A list service that fails is often asked too much: wait longer each time, spread out.
+            // A list service that fails is often overloaded: back off, with jitter.
             let wait = self.watch_wait * (0.5 + self.random.unit());
             self.watch_at = (self.settings.list == ListSource::OnRequest).then_some(self.now + wait);
             self.watch_wait = (self.watch_wait * 2.0).min(self.settings.list_deadline * WATCH_WAIT.1);
@@ -275,7 +275,7 @@
             && s.cold_since.is_none_or(|c| c < start)
         {
             s.cold_since = Some(start);
-            // What it was sent until this was told counts, as far as the new process may have got it.
+            // Work sent before this notice counts as far as the new process may have received it.
             s.cold_sends.retain(|(t, _)| *t >= start);
         }
     }
@@ -303,7 +303,7 @@
         }
     }
 
-    /// Moves a query on. True once its final answer is given.
+    /// Advances a query. Returns true once its final answer is given.
     fn run_query(&mut self, id: &RequestId, q: &mut QueryState) -> bool {
         self.advance(q);
         if self.may_reply(q) && self.reply(id, q) {
@@ -314,7 +314,7 @@
             q.planned = true;
             q.recount(&self.settings, self.now);
             if q.first_answer_whole.is_none() && !self.admit(id, q) {
-                // Refusals bring no news: without this, one bad spell would be believed for ever.
+                // Refusals bring no answers: unless it fades, the lag of one slow period would last for ever.
                 self.learned[q.class].lag *= 1.0 - LAG_SMOOTHING / 2.0;
                 q.forecast = 0.0;
                 return self.end_unserved(id, q);
@@ -332,9 +332,9 @@
         q.parts[i].hint.map_or(unit, |hint| hint.clamp(unit / MAX_HINT_FACTOR, unit * MAX_HINT_FACTOR))
     }
 
-    /// The ordinary path: random whole rows, parts by turns over them. The rows are neighbours, and turns run
-    /// from the last to the first, one turn for all parts with the same holders: on a ring the parts of
-    /// neighbouring shards then meet at one server, in a set those of one cell do, and share a call.
+    /// Assigns the parts to random complete rows by round robin. The rows are adjacent and are taken from the
+    /// last to the first, and parts with the same holders advance together: on a ring, parts of adjacent
+    /// shards then meet at one server, and in a set the parts of one cell do, and share a call.
     fn plan_rows(&mut self, q: &mut QueryState) {
         let rows = q.parts[q.step_start..].iter().map(|p| self.fleet.rows.of(p.shard).len()).max();
         let rows = rows.unwrap_or(0).max(1);
@@ -353,8 +353,8 @@
         }
     }
 
-    /// An any-k class is asked for just enough parts at first; the rest wait until one is overdue or fails.
-    /// Left out are the parts whose servers are furthest behind.
+    /// Holds back the parts that an any-k class can spare, those with the longest forecasts, until another is
+    /// overdue or fails.
     fn plan_reserve(&mut self, q: &mut QueryState) {
         let class = &self.settings.classes[q.class];
         let mut spare = if q.step_start == 0 { 1.0 - class.need } else { 0.0 };
@@ -376,8 +376,8 @@
         }
     }
 
-    /// Time until an answer for that much more work: work out at the server's pace, the time by which its
-    /// oldest attempt is overdue (older than the newest answered: lost alone), errors, a full one's wait.
+    /// Time until an answer to additional work: outstanding work at the server's pace, lateness of its oldest
+    /// attempt (only if sent after the newest answered one), errors and the wait if full.
     fn forecast(&self, server: usize, class: usize, work: Millis) -> Millis {
         self.forecast_at(self.fleet.servers[server].pace.told(), server, class, work)
     }
@@ -387,7 +387,7 @@
         let oldest = s.in_flight.iter().find(|(sent, _)| *sent > s.last_served_sent);
         let late = oldest.map_or(0.0, |(sent, expected)| self.now - sent - expected).max(0.0);
         let wait = late + (s.full_until - self.now).max(0.0);
-        // Not heard for an aim: its zone's silence warns of it, so that a cut is not met at each server anew.
+        // A server silent for an aim has its zone's silence, so that a cut is not met at each server anew.
         let unheard = s.zone.filter(|_| s.last_response_at < self.now - self.shortest_aim);
         let zone = unheard.and_then(|z| self.fleet.silence.get(&z)).copied().unwrap_or(0.0);
         let own = s.by_class.get(&class).map_or(0.0, |c| c.errors);
@@ -395,45 +395,45 @@
         pace * (self.others(s) + s.work_in_flight + work) + wait + errors
     }
 
-    /// Work of the call that a further part would open at this server; parts sent in this batch share theirs.
+    /// Work of the call that another part would open at this server; parts sent in one batch share calls.
     fn call_work(&self, server: usize) -> Millis {
         let opens = self.fleet.servers[server].batch_parts.is_multiple_of(self.settings.batch.max(1));
         if opens { self.settings.call_work } else { 0.0 }
     }
 
-    /// Whether a server may be picked at all: not ejected, not full, and within its allowance if cold.
-    fn fit(&self, server: usize, work: Millis) -> bool {
-        self.sound(server) && self.cold_room(server, work)
+    /// Whether a server may be chosen at all: not ejected, not full, and within its allowance if cold.
+    fn eligible(&self, server: usize, work: Millis) -> bool {
+        self.is_available(server) && self.cold_capacity_left(server, work)
     }
 
-    fn sound(&self, server: usize) -> bool {
+    fn is_available(&self, server: usize) -> bool {
         let s = &self.fleet.servers[server];
         (s.consecutive_failures < EJECT_FAILURES || s.in_flight.is_empty()) && self.now >= s.ejected_until
     }
 
-    /// Whether a part for this server leaves our zone.
-    fn crosses(&self, server: usize) -> bool {
+    /// Whether a part sent to this server leaves this aggregator's zone.
+    fn crosses_zone(&self, server: usize) -> bool {
         let zone = self.fleet.servers[server].zone;
         zone.is_some() && self.settings.zone.is_some() && zone != self.settings.zone
     }
 
-    /// Borrow: the row holder unless it is unfit or clearly behind; then the holder with the best forecast. A
-    /// server that this batch calls already needs no new call, so it is preferred. With no fit holder the
-    /// best of the others serves: the last holder is never ejected. None: all are gone, or cold and filled.
-    fn pick(&self, q: &QueryState, i: usize, room: impl Fn(&Self, usize, Millis) -> bool) -> Option<usize> {
+    /// Chooses the row holder unless it is unfit or clearly behind, else the fit holder with the best
+    /// forecast; a server called in this batch needs no new call. With no fit holder, the best of the others
+    /// is used: the last one is never ejected. `None` if all are gone, or cold and at their limit.
+    fn choose(&self, q: &QueryState, i: usize, room: impl Fn(&Self, usize, Millis) -> bool) -> Option<usize> {
         let part = &q.parts[i];
         let work = self.work(q, i);
         let class = &self.settings.classes[q.class];
         let at_cold = self.learned[q.class].work.at_cold(work, class.aim);
         let room = |s: &usize| room(self, *s, at_cold);
-        let fit = |s: &usize| self.sound(*s) && room(s);
+        let fit = |s: &usize| self.is_available(*s) && room(s);
         let used = |s: &usize| part.attempts.iter().any(|t| t.server == *s);
         let holders = self.fleet.rows.of(part.shard);
         let fresh = holders.iter().any(|s| !used(s));
         let open = |s: &usize| !(fresh && used(s));
         let cross = CROSS_AIM * self.settings.classes[q.class].aim;
         let score = |s: usize| {
-            let crossing = if self.crosses(s) { cross } else { 0.0 };
+            let crossing = if self.crosses_zone(s) { cross } else { 0.0 };
             self.forecast(s, q.class, work + self.call_work(s)) + crossing
         };
         let best = |of: &mut dyn Iterator<Item = usize>| of.min_by(|a, b| score(*a).total_cmp(&score(*b)));
@@ -441,46 +441,46 @@
             return best(&mut holders.iter().copied().filter(|s| open(s) && room(s)));
         };
         let margin = BEHIND_AIM * self.settings.classes[q.class].aim;
-        // What this batch has put there shares the call: a row's holder is not behind for it.
+        // Parts already in this batch share the call: a row holder is not behind because of them.
         let own = |s: usize| self.fleet.servers[s].pace.told() * self.fleet.servers[s].batch_work;
         let keeps = |s: &usize| open(s) && fit(s) && score(*s) - own(*s) <= score(best_fit) + margin;
         part.row_holder.filter(|s| holders.contains(s) && keeps(s)).or(Some(best_fit))
     }
 
-    /// Notes that a part wants a server, and which cold one, if any, it would go to.
-    fn want(&mut self, q: &QueryState, i: usize) {
+    /// Records the demand of a part, and the cold server, if any, that would be chosen for it.
+    fn note_demand(&mut self, q: &QueryState, i: usize) {
         self.desk.demand.part(q.parts[i].shard);
         let cold = |s: &usize| self.fleet.servers[*s].cold_since.is_some();
         if self.fleet.rows.of(q.parts[i].shard).iter().any(cold)
-            && let Some(s) = self.pick(q, i, |_, _, _| true)
+            && let Some(s) = self.choose(q, i, |_, _, _| true)
         {
             self.fleet.servers[s].wanted = true;
         }
     }
 
-    /// Whether a part is left out for now: an answer may be given without it, and its holders are all behind.
-    /// The parts that were first keep the room that the floor gives, so that a query does not waver.
+    /// Whether a part is omitted for now: the answer may do without it, and its holders are all behind. Parts
+    /// omitted before count first, so that a query does not alternate.
     fn should_omit(&self, q: &QueryState, i: usize) -> bool {
         let class = &self.settings.classes[q.class];
         let spare = if q.step_start == 0 { class.need - class.floor } else { 0.0 };
         let most = spare + TOLERANCE;
-        spare > TOLERANCE && self.behind(q, i) && self.without(q, i, most) <= most
+        spare > TOLERANCE && self.is_behind(q, i) && self.without(q, i, most) <= most
     }
 
-    /// Whether no holder of a part's shard may be sent to and forecasts an answer soon.
-    fn behind(&self, q: &QueryState, i: usize) -> bool {
+    /// Whether no holder of a part's shard is both eligible and forecast to answer soon.
+    fn is_behind(&self, q: &QueryState, i: usize) -> bool {
         let (work, aim) = (self.work(q, i), self.settings.classes[q.class].aim);
         let usual = self.fleet_pace * (work + self.settings.call_work);
         let soon = |s: usize| {
             let heard = self.fleet.servers[s].last_response_at > self.now - aim;
             let times = if heard { OMIT_USUAL.0 } else { OMIT_USUAL.1 };
-            self.fit(s, work) && self.forecast(s, q.class, work) <= (OMIT_AIM * aim).max(times * usual)
+            self.eligible(s, work) && self.forecast(s, q.class, work) <= (OMIT_AIM * aim).max(times * usual)
         };
         !self.fleet.rows.of(q.parts[i].shard).iter().copied().any(soon)
     }
 
-    /// Sends a part's first attempt, a retry of a failed one, or a second copy of an overdue one.
-    /// False if none beyond a first may go in this turn.
+    /// Sends a part's first attempt, a retry or a hedge. False if only first attempts may follow in this
+    /// turn.
     pub(crate) fn run_part(&mut self, q: &mut QueryState, i: usize) -> bool {
         let part = &q.parts[i];
         if part.served || part.attempts_used() >= q.max_attempts {
@@ -496,8 +496,8 @@
             if part.in_reserve && !self.any_troubled(q) {
                 return true;
             }
-            self.want(q, i);
-            if let Some(s) = self.pick(q, i, Self::cold_room) {
+            self.note_demand(q, i);
+            if let Some(s) = self.choose(q, i, Self::cold_capacity_left) {
                 self.send(q, i, s);
             }
             return true;
@@ -508,32 +508,31 @@
         if self.is_suspect(q) {
             return false;
         }
-        let out = part.attempts.iter().any(|t| t.outcome.is_none());
+        let open = part.attempts.iter().any(|t| t.outcome.is_none());
         let (age, expected) = part.attempts.last().map_or((0.0, 0.0), |t| (self.now - t.sent, t.expected));
-        if out && !self.late(q, part) {
+        if open && !self.late(q, part) {
             return true;
         }
         if !self.budget_left() {
             return false;
         }
-        self.want(q, i);
-        let Some(s) = self.pick(q, i, Self::cold_room) else { return true };
+        self.note_demand(q, i);
+        let Some(s) = self.choose(q, i, Self::cold_capacity_left) else { return true };
         let forecast = self.forecast(s, q.class, self.work(q, i) + self.call_work(s));
-        // A copy must come in time to count, and the overdue one be late by more than a copy takes: on a busy
-        // fleet copies then wait, on an idle one they go soon.
+        // A hedge must be in time, and the attempt late by more than a hedge takes: rare on a busy fleet.
         let part = &q.parts[i];
         let newest = &part.attempts[part.attempts.len() - 1];
-        let there = &self.fleet.servers[newest.server];
-        let same = out && newest.server == s;
-        // Nothing was heard from there since, and the query's other parts took far less: not slow but lost.
-        let lost = there.last_response_at < newest.sent && age > OVERDUE_FACTOR * self.longest_served(q);
+        let target = &self.fleet.servers[newest.server];
+        let same = open && newest.server == s;
+        // No response from there since, and the query's other parts took far less: lost, not slow.
+        let lost = target.last_response_at < newest.sent && age > OVERDUE_FACTOR * self.longest_served(q);
         let soon = age <= expected.min(forecast) + HEDGE_DELAY * forecast;
-        if out && (same || soon || !self.fit(s, 0.0) || self.now + forecast > self.useful_end(q)) {
+        if open && (same || soon || !self.eligible(s, 0.0) || self.now + forecast > self.useful_end(q)) {
             return true;
         }
-        if out && !self.settings.hedging {
-            // What is merely slow has most of its work behind it, which would be lost. To wait for
-            // what is lost costs all parts that are in: the more of them, the longer another may take.
+        if open && !self.settings.hedging {
+            // A merely slow attempt has most of its work done, which cancelling would waste. Waiting for a
+            // lost one costs the parts already served: the more of them, the longer another attempt may take.
             let aim = self.settings.classes[q.class].aim;
             let served = self.broken_and_served(q).1 as f64 / q.parts.len() as f64;
             let pays = if lost { served * (q.first_asked_at + aim - self.now) } else { 0.0 };
@@ -541,8 +540,8 @@
             if early || forecast > pays.max(CANCEL_AIM * aim) {
                 return true;
             }
-            // One attempt at most may be out: this one is called off, and once that is reported another goes.
-            // To wait on would lose the query with a single answer that was lost or a single slow server.
+            // Only one attempt may be in flight: cancel this one, and send another once its end is reported.
+            // To wait on would lose the query to one lost answer or one slow server.
             let attempt = part.attempts.len() as u32 - 1;
             self.actions.push(Action::Cancel { part: part.id.clone(), attempt });
             return true;
@@ -552,7 +551,7 @@
         true
     }
 
-    /// Asked for, not served, and its latest attempt has failed or is late.
+    /// Whether a part was sent and not served, and its latest attempt has failed or is late.
     pub(crate) fn failed_or_late(&self, q: &QueryState, p: &PartState) -> bool {
         !p.served && (self.late(q, p) || p.attempts.last().is_some_and(|t| t.outcome.is_some()))
     }
@@ -563,23 +562,22 @@
     }
 
     pub(crate) fn min_late_age(&self, q: &QueryState) -> Millis {
-        OVERDUE_AIM * self.step_time(q)
+        OVERDUE_AIM * self.step_aim(q)
     }
 
-    /// One part after another broke its connection, more than were served: the query itself may
-    /// bring down each server that begins it. It is not tried further; with none served, it ends.
-    /// Also holds where a zone or many servers die at once: such queries come back later. Others go on.
-    /// A server that has answered since is up: it lost that connection alone.
+    /// Whether more parts lost their connection than were served: the query itself may crash each server that
+    /// starts it. It is not retried, and ends if no part was served. The same holds when many servers die at
+    /// once: clients retry such queries. Losses to servers that answered since do not count.
     pub(crate) fn is_suspect(&self, q: &QueryState) -> bool {
         let (broken, served) = self.broken_and_served(q);
         broken >= SUSPECT_LOSSES && broken > served
     }
 
-    /// What the class lets us repeat (rule 2). Attempts that never ran do not count.
+    /// Whether the class allows another attempt (rule 2). Attempts that never ran do not count.
     pub(crate) fn may_repeat(settings: &Settings, now: Millis, q: &QueryState, p: &PartState) -> bool {
         let mut live = p.attempts.iter().filter(|t| !t.outcome.is_some_and(never_ran)).peekable();
-        let out = p.attempts.iter().filter(|t| t.outcome.is_none()).count();
-        if out > usize::from(settings.hedging || settings.cancel) {
+        let open = p.attempts.iter().filter(|t| t.outcome.is_none()).count();
+        if open > usize::from(settings.hedging || settings.cancel) {
             return false;
         }
         match settings.classes[q.class].semantics {
@@ -589,8 +587,8 @@
         }
     }
 
-    /// Room for one more attempt beyond a first in the rule's exact sliding window, or our own where none
-    /// is set, so that retries and copies cannot feed an overload.
+    /// Whether the rule's exact sliding window, or the default budget, has room for an attempt beyond a
+    /// first: retries and hedges must not feed an overload.
     fn budget_left(&mut self) -> bool {
         let span = DEFAULT_WINDOW_AIMS * self.shortest_aim;
         let own = AttemptBudget {
@@ -600,7 +598,7 @@
         };
         let rule = self.settings.budget.unwrap_or(own);
         let from = self.now - rule.window;
-        // The window's ends are taken so that neither reading of them allows more than the rule.
+        // The window's ends are chosen so that neither reading of the rule is exceeded.
         remove_before(&mut self.desk.taken, from + self.settings.tick);
         remove_before(&mut self.desk.extras, from - self.settings.tick);
         (self.desk.extras.len() + 1) as f64
@@ -635,7 +633,7 @@
         self.actions.push(Action::Send { part: part.id.clone(), node, timeout });
     }
 
-    /// Until when an answer still earns something.
+    /// Time until which an answer still earns something.
     pub(crate) fn useful_end(&self, q: &QueryState) -> Millis {
         let class = &self.settings.classes[q.class];
         let slack = REPLY_TICKS * self.settings.tick;
@@ -643,31 +641,31 @@
         end.min(q.deadline) - slack
     }
 
-    /// Time that the second step takes of late; nothing for a class of one step, or once it runs.
+    /// Recent time of the second step; zero for a class of one step, or once the second step runs.
     pub(crate) fn second_step_time(&self, q: &QueryState) -> Millis {
         let ahead = self.settings.classes[q.class].second_step && q.first_answer_whole.is_none();
         if ahead { self.learned[q.class].second_step } else { 0.0 }
     }
 
-    /// The time of the aim that falls to the step at hand.
-    fn step_time(&self, q: &QueryState) -> Millis {
+    /// Share of the aim, in milliseconds, that belongs to the running step.
+    fn step_aim(&self, q: &QueryState) -> Millis {
         let start = if q.first_answer_whole.is_some() { q.first_answered_at - q.first_asked_at } else { 0.0 };
         (self.settings.classes[q.class].aim - start - self.second_step_time(q)).max(self.settings.tick)
     }
 
-    /// Gives the final answer where its moment has come. True if the query has ended.
+    /// Gives the final answer if it is due. Returns true if the query has ended.
     fn reply(&mut self, id: &RequestId, q: &mut QueryState) -> bool {
         let class = &self.settings.classes[q.class];
         let slack = REPLY_TICKS * self.settings.tick;
-        // A first answer, where a second step follows, goes early enough for that to be in time.
+        // A first answer that a second step follows is given early enough for that step to be in time.
         let second_at = self.now + self.second_step_time(q) + slack;
         let step = &q.parts[q.step_start..];
         let sum = |keep: &dyn Fn(&PartState) -> bool| -> f64 {
             step.iter().filter(|p| keep(p)).map(|p| p.weight).sum()
         };
         let have = sum(&|p| p.served);
-        let spoiled = self.is_suspect(q);
-        let possible = sum(&|p| p.served || self.alive(q, p, spoiled));
+        let suspect = self.is_suspect(q);
+        let possible = sum(&|p| p.served || self.may_be_served(q, p, suspect));
         let second = q.first_answer_whole.is_some();
         let whole = if second { step.iter().all(|p| p.served) } else { have + TOLERANCE >= class.need };
         if !step.is_empty() && whole {
@@ -676,30 +674,30 @@
         let floor = have > 0.0 && have + TOLERANCE >= class.floor;
         let aim_over = second_at >= q.first_asked_at + class.aim;
         let over = self.now >= q.deadline - slack;
-        // After a first answer that was not whole both ways earn its share, so that only the rest counts.
+        // After a partial first answer both choices earn its share, so that only the rest counts.
         let earns = if q.first_answer_whole == Some(false) { 1.0 } else { class.partial_earns };
         let partial_worth = earns * have / class.need.max(TOLERANCE);
         let can_be_whole = possible + TOLERANCE >= if second { 1.0 } else { class.need };
-        // Once the aim is reached, waiting is worth less where the rest cannot come or earns less by then;
-        // before, each part that may still come adds to its share.
+        // After the aim, waiting is worth less where the rest cannot come or earns less by then; before it,
+        // each part that may still come adds to the share.
         let enough = aim_over && (!can_be_whole || partial_worth >= class.late_worth);
         let waits = self.now < q.first_asked_at + OMIT_WAIT_SHARE * class.aim;
-        let coming = sum(&|p| p.served || ((waits || !p.omitted) && self.alive(q, p, spoiled)));
+        let coming = sum(&|p| p.served || ((waits || !p.omitted) && self.may_be_served(q, p, suspect)));
         if floor && (second_at >= q.deadline || enough || coming <= have + TOLERANCE) {
             return self.answer(id, q, false);
         }
-        // Between a first answer and the parts of the second step there is nothing to give up yet.
+        // Between a first answer and the parts of the second step no part can be lost yet.
         let hopeless = !(second && step.is_empty()) && possible + TOLERANCE < class.floor.min(class.need);
-        let poison = spoiled && have == 0.0;
+        let poison = suspect && have == 0.0;
         if over || hopeless || poison || self.now >= self.useful_end(q) {
             return self.end_unserved(id, q);
         }
         false
     }
 
-    /// Whether a part that is not in may still come.
-    fn alive(&self, q: &QueryState, p: &PartState, spoiled: bool) -> bool {
-        let left = p.attempts_used() < q.max_attempts && (p.attempts.is_empty() || !spoiled);
+    /// Whether a part that is not served may still be.
+    fn may_be_served(&self, q: &QueryState, p: &PartState, suspect: bool) -> bool {
+        let left = p.attempts_used() < q.max_attempts && (p.attempts.is_empty() || !suspect);
         p.attempts.iter().any(|t| t.outcome.is_none()) || (left && !self.fleet.rows.of(p.shard).is_empty())
     }
 
@@ -716,12 +714,12 @@
             q.recount(&self.settings, self.now);
             return false;
         }
-        self.forget(id, q);
+        self.close_query(id, q);
         true
     }
 
-    /// Ends a query unserved, at once and with advice: a refusal where a repeat is harmless, else a failure.
-    /// A keyed part that may have run is harmless to repeat until its window ends; clients come rather late.
+    /// Ends a query unserved with retry advice: a refusal where a retry is harmless, else a failure. A keyed
+    /// part that may have run is harmless until its window ends; clients tend to return late.
     fn end_unserved(&mut self, id: &RequestId, q: &mut QueryState) -> bool {
         self.learned[q.class].client_timeout.note_unserved(q.first_asked_at);
         let class = &self.settings.classes[q.class];
@@ -738,11 +736,11 @@
         let query = id.clone();
         let all = q.parts.iter().flat_map(|p| &p.attempts).filter(ran).all(harmless);
         self.actions.push(if all { Action::Refuse { query, retry_after } } else { Action::Fail { query } });
-        self.forget(id, q);
+        self.close_query(id, q);
         true
     }
 
-    fn forget(&mut self, id: &RequestId, q: &QueryState) {
+    fn close_query(&mut self, id: &RequestId, q: &QueryState) {
         self.cancel_rest(q);
         self.desk.calendar.forget(id, q);
         let learned = &mut self.learned[q.class];
@@ -761,8 +759,8 @@
         q.parts.iter().for_each(|p| drop(self.desk.part_of.remove(&p.id)));
     }
 
-    /// Whether a query can be served in time. Under load those that earn least for their work go first. The
-    /// slowest part counts in part: copies may get round one whose holders all have an attempt overdue.
+    /// Whether a query can be served in time. Under load, those that earn least for their work are refused
+    /// first. The slowest part counts only in part: hedges may avoid a server with an overdue attempt.
     fn admit(&mut self, id: &RequestId, q: &mut QueryState) -> bool {
         let over_share = self.over_share(q.tenant);
         let class = &self.settings.classes[q.class];
@@ -774,12 +772,12 @@
             total += work;
             let holders = self.fleet.rows.of(q.parts[i].shard);
             let least = |of: &mut dyn Iterator<Item = usize>| {
-                // Whether there is time is told by paces that hold no time twice.
+                // Rescaled paces are used, since they count no time twice.
                 let rescaled = |s: usize| self.fleet.servers[s].pace.rescaled();
                 of.map(|s| self.forecast_at(rescaled(s), s, q.class, work)).reduce(f64::min)
             };
-            // One that is passed over will not be sent to, however idle it looks for that.
-            let sound = least(&mut holders.iter().copied().filter(|s| self.sound(*s)));
+            // An ejected server will not be chosen, however idle its ejection makes it look.
+            let sound = least(&mut holders.iter().copied().filter(|s| self.is_available(*s)));
             let best = sound.or_else(|| least(&mut holders.iter().copied())).unwrap_or(f64::INFINITY);
             if may_leave {
                 q.lift(i);
@@ -800,15 +798,15 @@
         let overhead = self.query_overhead(q.parts.len());
         let forecast = mean + SLOWEST * (slowest - mean) + overhead;
         (q.forecast, q.overhead) = (forecast, overhead);
-        // One that may still earn by a partial answer is worth more of a risk; a late one as to the lag only.
-        // Nothing, where the client leaves before the aim: its repeats would fill the fleet with lost work.
+        // A possible partial answer justifies more risk, a late one only more lag; neither does where the
+        // client leaves before the aim, since its retries would fill the fleet with lost work.
         let stays = f64::from(q.deadline > q.first_asked_at + class.aim);
         let may = if class.floor < class.need { stays } else { 0.0 };
         let partial = may * class.partial_earns * class.floor / class.need.max(TOLERANCE);
         let fallback = partial.max(stays * class.late_worth);
         let limit = limit + (1.0 - limit) * partial;
         let left = (q.first_asked_at + class.aim).min(q.deadline) - self.now - self.second_step_time(q);
-        // Past its aim it is refused: it would earn the late worth at most.
+        // Past its aim a query is refused, since it would earn the late worth at most.
         let (class, lag) = (ClassIndex(q.class), self.learned[q.class].lag * (1.0 - fallback));
         let assessment = Assessment { class, mean, slowest, overhead, forecast, lag, allowed: limit * left };
         let probes = &mut self.learned[q.class].probes;
@@ -857,8 +855,8 @@
         let (least, likely) = (self.least_time(f, elapsed), self.likely_time(f, elapsed));
         let s = &mut self.fleet.servers[f.server];
         s.remove_in_flight(f);
-        // Long overdue and nothing sent later was answered: a failure, even if a second copy was quicker and
-        // this one was called off. The forecast grows with load, so load alone does not count.
+        // Long overdue and nothing sent later was answered: a failure, even if a hedge was quicker and this
+        // attempt was cancelled. The forecast grows with load, so that load alone does not count.
         let overdue = !self.desk.stood && elapsed > (OVERDUE_FACTOR * f.expected).max(OVERDUE_AIM * aim);
         let silent = overdue && f.sent > s.last_served_sent;
         let quiet = outcome == Outcome::Cancelled && silent
@@ -867,7 +865,7 @@
             let share = self.fleet.silence.entry(zone).or_default();
             *share += ZONE_SMOOTHING * (f64::from(u8::from(quiet)) - *share);
         }
-        // A server may fail one class and serve the others, whose answers then hide it: its own record.
+        // A server may fail one class and answer the others, which hides it: each class has its own record.
         let own = s.by_class.entry(f.class).or_default();
         let lost = overdue && f.sent > own.last_served_sent && outcome != Outcome::Served;
         if lost || outcome == Outcome::Error {
@@ -879,7 +877,7 @@
         let width = &mut self.learned[f.class].width;
         match outcome {
             Outcome::NotSent => return,
-            // Seen late, since this aggregator stood still: no news of the server.
+            // Noticed late because this process was paused: says nothing about the server.
             Outcome::TimedOut if self.desk.stood => return,
             Outcome::Cancelled if !silent => return,
             Outcome::Served => {
@@ -887,23 +885,23 @@
                 self.desk.served += if s.warm() { f.work } else { 0.0 };
                 let likely = if self.desk.stood { likely.min(f.expected) } else { likely };
                 let pace = likely / f.queued.max(1.0);
-                let news = if elapsed > OVERDUE_FACTOR * f.expected { SLOW_SMOOTHING } else { SMOOTHING };
+                let weight = if elapsed > OVERDUE_FACTOR * f.expected { SLOW_SMOOTHING } else { SMOOTHING };
                 let work = &self.learned[f.class].work;
                 match work.known() {
-                    true => s.pace.observe(pace, pace * f.scale / work.scale(), news),
-                    false => s.pace.observe_provisional(f.class, pace, work.scale() / f.scale, news),
+                    true => s.pace.observe(pace, pace * f.scale / work.scale(), weight),
+                    false => s.pace.observe_provisional(f.class, pace, work.scale() / f.scale, weight),
                 }
                 s.last_response_at = self.now;
-                let quiet = f.sent - s.last_served_sent;
+                let silence = f.sent - s.last_served_sent;
                 s.last_served_sent = s.last_served_sent.max(f.sent);
                 s.errors *= 1.0 - SMOOTHING;
                 s.consecutive_failures = 0;
                 s.ejection = 0.0;
                 let started_by = f.connected.unwrap_or(self.now);
                 let restarted = started_by > std::mem::replace(&mut s.last_answer_at, self.now);
-                if s.is_silent && quiet > COLD_SILENCE * aim && restarted {
-                    // Long silence, then an answer: a restart that the list may not show yet.
-                    // What it was sent before, the process that fell silent may have got.
+                if s.is_silent && silence > COLD_SILENCE * aim && restarted {
+                    // A long silence, then an answer: a restart that the list may not show yet. Work sent
+                    // before may have reached the process that fell silent.
                     if s.cold_since.replace(started_by).is_none() {
                         s.cold_sends.clear();
                     }
@@ -915,31 +913,31 @@
             Outcome::Full => {
                 width.ended += 1;
                 width.bad += 1;
-                // Each time longer while nothing is answered: a server that hangs is full for as long.
+                // Doubles while nothing is answered: a server that hangs stays full.
                 s.ejection = (s.ejection * 2.0).clamp(FULL_HOLD * aim, MAX_EJECTION * aim);
                 s.full_until = self.now + s.ejection * jitter;
                 s.ejected_until = s.full_until;
                 return;
             }
             Outcome::TimedOut => {
-                // The backlog of a stall times out long after it: older than the newest answer it is no news.
+                // The backlog of a stall times out late: older than the newest answer, it says nothing.
                 width.ended += 1;
                 width.bad += u32::from(f.sent > s.last_served_sent);
                 if f.sent <= s.last_served_sent {
                     return;
                 }
-                // It would have taken longer still: else a server full of work that will time out looks fast.
+                // It would have taken longer still: else a server full of such work looks fast.
                 let pace = (least / f.queued.max(1.0)).min(MAX_TIMEOUT_PACE * self.fleet_pace);
                 s.pace.observe_at_least(pace, SMOOTHING);
                 s.last_response_at = self.now;
             }
-            // Quick errors tell of the server, not of the load: the width loop leaves them to this.
+            // Quick errors are due to the server and not to load: the width controller ignores them.
             Outcome::Error | Outcome::Cancelled | Outcome::NoConnection | Outcome::ConnectionLost => {}
         }
         s.errors += SMOOTHING * (1.0 - s.errors);
         s.consecutive_failures += 1;
-        // Nothing runs there or nothing gets there, whatever the load: passed over at once. One that has
-        // answered what was sent later, or just before, has lost a connection and is up.
+        // The server is down or unreachable, whatever the load: eject at once. One that has answered an
+        // attempt sent later, or just before, has only lost a connection and is up.
         let alive = s.last_served_sent + ALIVE_AIM * aim > f.sent && outcome == Outcome::ConnectionLost;
         let gone = matches!(outcome, Outcome::NoConnection | Outcome::ConnectionLost if !alive);
         s.is_silent |= gone || outcome == Outcome::TimedOut;
@@ -950,11 +948,11 @@
         }
     }
 
-    /// Whether a server that may be cold has room for more work within its window (rule 4), under a multiple
-    /// of what it can do for all aggregators together. What all have served by a warm server is no more than
-    /// that can do: so each keeps to that multiple of the cold share of what it has served by one. This
-    /// needs no guess of cores or of others' traffic. Before it is known: to an even part, on one core.
-    fn cold_room(&self, server: usize, work: Millis) -> bool {
+    /// Whether a server that may be cold can take more work within its window (rule 4): all aggregators
+    /// together stay under a multiple of its capacity. What all have served by a warm server is at most its
+    /// capacity, so each keeps to that multiple of the cold share of its own part of it, which needs no
+    /// knowledge of cores or other traffic. Until that is known, an even part of one core counts.
+    fn cold_capacity_left(&self, server: usize, work: Millis) -> bool {
         let s = &self.fleet.servers[server];
         let Some(since) = s.cold_since else { return true };
         let rule = &self.settings.cold;
@@ -969,9 +967,9 @@
         let even = most * share;
         let from = self.now - rule.overload_time;
         let sent: Millis = s.cold_sends.iter().filter(|(t, _)| *t >= from).map(|(_, w)| w).sum();
-        // An even part of less than one part's work is a turn, by chance that is drawn anew each second. A
-        // turn is lost where no part is there to take it, so that the chance grows as those are rare: over
-        // all aggregators, demand times chance then sums up to the turns meant, however many they are.
+        // An even part below one part's work is a chance to send, drawn anew each second. It is lost where no
+        // part uses it, so it grows as parts get rare: over all aggregators, demand times chance adds up to
+        // the intended sends.
         let held = (!self.warm_beside(s)).then(|| self.settings.max_wait() / SECOND);
         let demand = self.desk.demand.of_one(s.cell, self.settings.reach, held);
         let turns = turns_within(most / (COLD_SAFE * work.max(1.0)), COLD_SCATTER) / COLD_SURGE;
@@ -979,9 +977,9 @@
         sent + work <= even || (sent == 0.0 && s.cold_draw < turn)
     }
 
-    /// Whether a warm server that may be sent to holds what this one does.
+    /// Whether a warm, available server holds the same shards as this one.
     fn warm_beside(&self, s: &Server) -> bool {
-        let warm = |i: &usize| self.fleet.servers[*i].warm() && self.sound(*i);
+        let warm = |i: &usize| self.fleet.servers[*i].warm() && self.is_available(*i);
         self.fleet.rows.of(s.cell).iter().any(warm)
     }
 
@@ -995,7 +993,7 @@
         }
         let heard = self.fleet.servers.iter().filter(|s| s.last_response_at > self.now - 4.0 * SECOND);
         let median = estimates::median(heard.map(|s| &s.pace));
-        // Nothing heard, as when all is refused after a bad spell: it fades, or it would be believed on.
+        // Without responses, as when all is refused after a slow period, estimates must fade.
         let unheard = if median.is_none() { FADE } else { 0.0 };
         self.learned.iter_mut().for_each(|l| l.work.fade(unheard));
         let faded = |pace: f64| pace + FADE * (INITIAL_PACE - pace);
@@ -1023,10 +1021,10 @@
             self.desk.served_rate += SMOOTHING * (served - self.desk.served_rate);
         }
         self.forget_gone();
-        self.budget_left(); // forgets what is past its window
+        self.budget_left(); // also drops entries past the window
     }
 
-    /// One PD step on the share of calls that ended full or timed out; an empty second changes nothing.
+    /// One PD step on the share of calls that ended full or timed out; none after an idle second.
     fn adjust_width(&mut self, class: usize) {
         let w = &mut self.learned[class].width;
         if w.ended == 0 {
