--- a/crates/brookbend/src/api.rs
+++ b/crates/brookbend/src/api.rs
@@ -1,31 +1,31 @@
-//! The interface of the decision module: what it is told at start, what it hears, what it asks for.
+//! The interface of the decision module: its settings, the events it receives and the actions it returns.
 //!
-//! Nothing here decides anything. Times are milliseconds of the caller's own clock.
+//! It contains no decisions. Times are milliseconds of the caller's clock.
 
 use std::fmt;
 use std::sync::Arc;
 
-/// A moment on the caller's clock, or a span of it, in milliseconds.
+/// A point in time on the caller's clock, or a duration, in milliseconds.
 pub type Millis = f64;
 
-/// Name of a server; the same at every aggregator, and kept over restarts of its process.
+/// Name of a server. It is the same at every aggregator and survives restarts of the server's process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub Arc<str>);
 
-/// A query or one of its parts. Never used twice. Queries are moved on in this order, so that a caller keeps to one
-/// kind of id: to numbers in the order of arrival, or to names.
+/// Identifies a query or one of its parts, and is never reused. Queries are processed in the order of their
+/// ids, so that a caller uses only one kind of id: numbers in order of arrival, or names.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RequestId {
-    /// A query, by its number.
+    /// A query, identified by a number.
     Query(u64),
-    /// A part of a query, by the query's number and its own place there, from 0.
+    /// A part, identified by its query's number and its index in the query, from 0.
     Part(u64, u32),
-    /// Either, by a name.
+    /// A query or a part, identified by a name.
     Named(Arc<str>),
 }
 
 impl RequestId {
-    /// The id of this name.
+    /// Returns the id with the given name.
     pub fn named(name: &str) -> Self {
         RequestId::Named(name.into())
     }
@@ -45,319 +45,322 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassIndex(pub usize);
 
-/// Index of a tenant in [`Settings::tenants`]; any index where a deployment has none.
+/// Index of a tenant in [`Settings::tenants`]. Any value is accepted if the deployment has no tenants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantIndex(pub usize);
 
-/// What repeating a part may do.
+/// Effect of executing a part more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Semantics {
-    /// Repeats are harmless.
+    /// Repeated execution is harmless.
     Safe,
-    /// Repeats are dropped by the servers for so long after the first attempt.
+    /// Servers drop repeated attempts within a window after the first one.
     Keyed {
-        /// Time, from the first attempt that may have run, in which repeats are dropped.
+        /// Length of the window in milliseconds, from the first attempt that may have run.
         window: Millis,
     },
-    /// A repeat would take effect again.
+    /// A repeated attempt takes effect again.
     Unsafe,
 }
 
-/// One class of query.
+/// Settings of one class of query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns full worth.
+    /// Latency target in milliseconds: an answer within this time earns its full worth.
     pub aim: Millis,
-    /// The client's whole patience, over all its attempts.
+    /// Time in milliseconds after which a client gives up, over all its tries.
     pub give_up: Millis,
-    /// Worth of a whole answer in time.
+    /// Worth of a complete answer within the aim.
     pub worth: f64,
-    /// Share of the worth that an answer after the aim still earns.
+    /// Share of the worth that an answer after the aim earns.
     pub late_worth: f64,
-    /// What a repeat may do.
+    /// Effect of executing a part more than once.
     pub semantics: Semantics,
-    /// Share of the parts' weight that makes a whole answer.
+    /// Share of the parts' weight that makes an answer complete.
     pub need: f64,
-    /// Least share of the parts' weight that an answer may be given from.
+    /// Lowest share of the parts' weight for which an answer may be given.
     pub floor: f64,
-    /// An answer that is not whole earns this times its share over the need.
+    /// Factor of a partial answer's worth, which is this times the answer's share of the weight over the
+    /// need.
     pub partial_earns: f64,
-    /// Whether a first answer brings a second step with further parts.
+    /// Whether the client sends further parts, as a second step, after the first answer.
     pub second_step: bool,
 }
 
-/// One tenant.
+/// Settings of one tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Queries a second, over all aggregators, that count as within its share.
+    /// Quota in queries per second over all aggregators.
     pub quota_per_s: f64,
 }
 
-/// How the list of servers comes.
+/// How changes of the server list are delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
-    /// Changes come unasked.
+    /// Changes are pushed without a request.
     Pushed,
-    /// Changes come only once asked for.
+    /// Changes are delivered only after a request.
     OnRequest,
 }
 
-/// The rule on attempts beyond each part's first.
+/// Budget for attempts beyond each part's first, in a sliding window.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptBudget {
-    /// So many are free in any window.
+    /// Number of attempts that are always allowed in a window.
     pub free_attempts: f64,
-    /// And so many for each query and part taken in the window.
+    /// Number of further attempts allowed for each query and part accepted in the window.
     pub per_request: f64,
-    /// Length of the window.
+    /// Length of the window in milliseconds.
     pub window: Millis,
 }
 
-/// The figures for servers that have just started.
+/// Capacity of servers that have just started.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdRule {
-    /// A server starts with at least this share of its capacity.
+    /// Least share of its full capacity that a server has when it starts.
     pub initial_capacity: f64,
-    /// It is warm after this time at the latest.
+    /// Longest time in milliseconds from a server's start until it has its full capacity.
     pub warm_after: Millis,
-    /// It falls over when sent more than this multiple of what it can do at the moment ...
+    /// A server fails when it is sent more than this multiple of its current capacity for `overload_time`.
     pub overload_factor: f64,
-    /// ... for this long.
+    /// Time in milliseconds over which an overload makes a server fail.
     pub overload_time: Millis,
 }
 
-/// All that an aggregator is told at its start.
+/// Settings of an aggregator.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Classes of query.
+    /// Classes of query, indexed by [`ClassIndex`].
     pub classes: Vec<Class>,
-    /// Tenants; may be empty.
+    /// Tenants, indexed by [`TenantIndex`]; may be empty.
     pub tenants: Vec<Tenant>,
-    /// How many aggregators serve beside and including this one.
+    /// Number of aggregators, including this one.
     pub aggregators: usize,
-    /// This one's zone, where the deployment has zones; servers name theirs in [`Member::zone`].
+    /// Zone of this aggregator, to compare with [`Member::zone`]; `None` if the deployment has no zones.
     pub zone: Option<usize>,
-    /// Share of its worth that a query beyond its tenant's share keeps.
+    /// Share of its worth that a query over its tenant's quota keeps.
     pub over_share_worth: f64,
-    /// Whether a query's worth grows with the work in it.
+    /// Whether a query's worth grows with its work.
     pub worth_by_work: bool,
-    /// Whether clients mark their repeats, see [`Query::again`].
+    /// Whether clients mark their retries, see [`Query::is_retry`].
     pub clients_mark_retries: bool,
-    /// Number of cells. Shard `s` is held by the servers of cells `s + j` modulo this, `j` below `reach`.
+    /// Number of cells. Shard `s` is held by the servers of cells `(s + j) % cells` for each `j` below
+    /// `reach`.
     pub cells: usize,
-    /// Cells in a row that hold a shard: 1 where servers form sets.
+    /// Number of cells in a row that hold a shard; 1 where servers form sets.
     pub reach: usize,
     /// Number of shards.
     pub shards: usize,
-    /// Most parts in one call.
+    /// Maximum number of parts in one call.
     pub batch: usize,
-    /// Work that a call costs its server beside that of its parts.
+    /// Work in milliseconds that a call costs its server in addition to that of its parts.
     pub call_work: Millis,
-    /// Most attempts for one part.
+    /// Maximum number of attempts for one part.
     pub max_attempts: u32,
-    /// Whether a part may have two attempts out at once.
+    /// Whether a part may have two attempts in flight at once.
     pub hedging: bool,
-    /// Whether attempts may be called off.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Longest retry advice that clients heed; `None` where advice does not reach them.
+    /// Longest retry advice in milliseconds that clients heed; `None` if advice does not reach them.
     pub max_retry_after: Option<Millis>,
-    /// Time between two batches at the least.
+    /// Least time in milliseconds between two batches.
     pub tick: Millis,
-    /// How the list of servers comes.
+    /// How changes of the server list are delivered.
     pub list: ListSource,
-    /// Without a subscription, an aggregator counts as told after this time.
+    /// Time in milliseconds after which an aggregator without a subscription is held to know a change of the
+    /// list.
     pub list_deadline: Millis,
-    /// The rule on further attempts, where there is one.
+    /// Budget for attempts beyond the first; `None` if the deployment sets none.
     pub budget: Option<AttemptBudget>,
-    /// The rule on cold servers.
+    /// Capacity of servers that have just started.
     pub cold: ColdRule,
 }
 
-/// Whether a server may be sent anything.
+/// State of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeState {
-    /// It serves.
+    /// The server accepts attempts.
     Serving,
-    /// It finishes what it has.
+    /// The server only finishes the attempts that it has.
     Draining,
-    /// It has been removed.
+    /// The server has been removed.
     Gone,
 }
 
-/// One server as the list shows it.
+/// Entry of the server list.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// The server.
+    /// Name of the server.
     pub node: NodeId,
-    /// Its cell.
+    /// Index of the server's cell.
     pub cell: usize,
-    /// Its state.
+    /// Whether the server accepts attempts.
     pub state: NodeState,
-    /// Index of its zone, where the list shows it.
+    /// Index of the server's zone; `None` if the list names none.
     pub zone: Option<usize>,
-    /// When its process last started; `None`: long ago.
+    /// Time at which the server's process last started; `None` if that was long ago.
     pub started: Option<Millis>,
 }
 
-/// What a list event brings.
+/// Contents of a list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// Only the entries that changed.
     Changes,
-    /// The whole list.
+    /// The complete list.
     Complete,
-    /// The whole list as last written to disk, perhaps old.
+    /// The complete list as last written to disk, possibly stale.
     Disk,
-    /// A request for the list failed, or the subscription broke. No entries.
+    /// No entries: a request for the list failed, or the subscription broke.
     Error,
 }
 
-/// A query as it arrives. Its parts follow in the same batch.
+/// A query that arrived. Its parts follow in the same batch.
 #[derive(Clone, Debug)]
 pub struct Query {
-    /// Its name.
+    /// Id of the query.
     pub id: RequestId,
-    /// Number that its parts share.
+    /// Number that the query's parts name in [`Part::group`].
     pub group: u64,
-    /// Its class.
+    /// Class of the query.
     pub class: ClassIndex,
-    /// Its tenant.
+    /// Tenant that the query is accounted to.
     pub tenant: TenantIndex,
-    /// When this try is over: its client gives up, or the site wants it to end before.
+    /// Time at which this try ends: its client gives up, or the site limits it to an earlier time.
     pub deadline: Millis,
-    /// When the client gives up this try.
+    /// Time at which the client gives up this try.
     pub client_deadline: Millis,
-    /// Most attempts at a part, where that is less than the settings' figure.
+    /// Maximum number of attempts for each part, if lower than [`Settings::max_attempts`].
     pub max_attempts: Option<u32>,
-    /// Whether the client marks it as a repeat.
+    /// Whether the client marked the query as a retry.
     pub is_retry: bool,
 }
 
 /// A part of a query.
 #[derive(Clone, Debug)]
 pub struct Part {
-    /// Its name.
+    /// Id of the part.
     pub id: RequestId,
-    /// Number of its query.
+    /// The query's [`Query::group`].
     pub group: u64,
-    /// Its shard.
+    /// Index of the shard that the part reads.
     pub shard: usize,
-    /// Its weight in the answer.
+    /// Weight of the part in the answer.
     pub weight: f64,
-    /// Roughly the work in it, where the deployment gives hints.
+    /// Estimated work in milliseconds; `None` if the deployment gives no hints.
     pub work_hint: Option<Millis>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered.
+    /// The server answered.
     Served,
-    /// The server returned an error; it may have run.
+    /// The server returned an error. The attempt may have run.
     Error,
-    /// Turned away unseen: it never ran.
+    /// The server rejected the attempt unread, as full. It never ran.
     Full,
-    /// No answer in time; it may have run or still run.
+    /// No answer came in time. The attempt may have run, or may still run.
     TimedOut,
-    /// No connection: it never ran.
+    /// No connection could be opened. The attempt never ran.
     NoConnection,
-    /// The connection broke; it may have run.
+    /// The connection broke. The attempt may have run.
     ConnectionLost,
-    /// Called off by the aggregator; it may have run.
+    /// The aggregator cancelled the attempt. It may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
-/// What an aggregator hears.
+/// Input of an aggregator.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the list of servers.
+    /// The server list was updated.
     List {
-        /// What the entries are.
+        /// Whether the entries are all, the changed ones or none.
         kind: ListKind,
-        /// The entries.
+        /// Entries of the list.
         members: Vec<Member>,
     },
-    /// A query has come.
+    /// A query arrived.
     Query(Query),
-    /// A part of a query has come.
+    /// A part of a query arrived.
     Part(Part),
-    /// An attempt has ended.
+    /// An attempt ended.
     Ended {
-        /// The part.
+        /// Part that the attempt belongs to.
         part: RequestId,
-        /// Which of the part's attempts, from 0.
+        /// Index of the attempt among the part's attempts, from 0.
         attempt: u32,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time in milliseconds from the send to the end of the attempt.
         elapsed: Millis,
-        /// Requests that the server said it holds, waiting or in work, where its answers tell: a hint that may be
-        /// late or untrue.
+        /// Number of requests that the server reported as queued or running; `None` if its answer has no
+        /// report. A hint that may be late or wrong.
         load: Option<f64>,
     },
-    /// The next end of this attempt is an answer over a connection that is up since then. A server that restarts loses its
-    /// connections, so that one process has run there all the while.
+    /// The next end of this attempt is an answer over a connection that has been up since the given time. A
+    /// server that restarts loses its connections, so that one process has run there since then.
     Connected {
-        /// The part.
+        /// Part that the attempt belongs to.
         part: RequestId,
-        /// Which of the part's attempts, from 0.
+        /// Index of the attempt among the part's attempts, from 0.
         attempt: u32,
-        /// Since when.
+        /// Time at which the connection came up.
         since: Millis,
     },
-    /// The client has left; nothing more is owed.
+    /// The client of this query has left and expects no answer.
     ClientGone(RequestId),
-    /// No attempt at this part can be sent any more: its query is to do without it.
+    /// No further attempt for this part can be sent; its query must do without it.
     Unreachable(RequestId),
-    /// The time asked for by [`Action::Wake`] has come.
+    /// The time requested by [`Action::Wake`] has passed.
     Woken,
 }
 
-/// What an aggregator asks its caller to do, in this order.
+/// Output of an aggregator. The caller carries the actions out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt for a part. Those to one server in one batch share calls.
+    /// Send an attempt for a part. Attempts to one server in one batch share calls.
     Send {
-        /// The part.
+        /// Part to send.
         part: RequestId,
-        /// Where to.
+        /// Server to send to.
         node: NodeId,
-        /// Wait this long at the most; `None`: until the client gives up.
+        /// Longest wait for the answer in milliseconds; `None` to wait until the query's deadline.
         timeout: Option<Millis>,
     },
-    /// End the wait for an attempt.
+    /// Stop waiting for an attempt.
     Cancel {
-        /// The part.
+        /// Part that the attempt belongs to.
         part: RequestId,
-        /// Which of its attempts.
+        /// Index of the attempt among the part's attempts, from 0.
         attempt: u32,
     },
-    /// Answer the query from the parts that are in.
+    /// Answer the query from the parts that were served.
     Answer {
-        /// The query.
+        /// Query to answer.
         query: RequestId,
-        /// Whether the answer is whole.
+        /// Whether the answer is complete.
         whole: bool,
     },
-    /// End the query unanswered, telling that a repeat is harmless.
+    /// End the query unanswered and state that a retry is harmless.
     Refuse {
-        /// The query.
+        /// Query to refuse.
         query: RequestId,
-        /// When the client should come back.
+        /// Time in milliseconds after which the client should retry; `None` for no advice.
         retry_after: Option<Millis>,
     },
-    /// End the query unanswered, promising nothing.
+    /// End the query unanswered without a statement on retries.
     Fail {
-        /// The query.
+        /// Query to fail.
         query: RequestId,
     },
-    /// Ask for the changes of the list from now on.
+    /// Subscribe to changes of the server list.
     Watch,
-    /// Send [`Event::Woken`] after this time.
+    /// Deliver [`Event::Woken`] after the given time.
     Wake {
-        /// How long from now.
+        /// Time from now in milliseconds.
         after: Millis,
     },
 }
--- a/crates/brookbend/src/choice.rs
+++ b/crates/brookbend/src/choice.rs
@@ -815,7 +815,7 @@
             return true;
         }
         let in_time_yet = assessment.allowed > 0.0;
-        if in_time_yet && probes.lets_in(id, self.now) {
+        if in_time_yet && probes.admits(id, self.now) {
             self.desk.refusals.probes += 1;
             return true;
         }
--- a/crates/brookbend/src/lib.rs
+++ b/crates/brookbend/src/lib.rs
@@ -1,10 +1,11 @@
-//! brookbend makes the decisions of an aggregator that serves one query from many shards.
+//! The decisions of an aggregator that serves each query from many shards.
 //!
-//! For each query it picks how many whole replica rows to touch, spreads the query's parts over those rows
-//! by turns and bundles what goes to one server into one call. It watches its own attempts to tell sick
-//! servers from well ones, attempts again within budgets, answers, and refuses what cannot be in time.
+//! For each query the module chooses how many replica rows to use, spreads the query's parts over those rows
+//! by round robin, and bundles the parts for one server into one call. It detects failing servers from the
+//! outcomes of its own attempts, retries and hedges within a budget, answers, and refuses queries that cannot be
+//! served in time.
 //!
-//! It does no input or output of its own: hand it events, carry out the actions.
+//! The module does no input or output: the caller hands it events and carries out the returned actions.
 //!
 //! ```
 //! use brookbend::api::*;
@@ -15,11 +16,14 @@
 //!     need: 1.0, floor: 1.0, partial_earns: 0.0, second_step: false,
 //! };
 //! let settings = Settings {
-//!     classes: vec![class], tenants: vec![], aggregators: 2, zone: None, over_share_worth: 1.0, worth_by_work: false, clients_mark_retries: false,
+//!     classes: vec![class], tenants: vec![], aggregators: 2, zone: None, over_share_worth: 1.0,
+//!     worth_by_work: false, clients_mark_retries: false,
 //!     cells: 3, reach: 2, shards: 3, batch: 8, call_work: 10.0, max_attempts: 3,
 //!     hedging: true, cancel: true, max_retry_after: Some(500.0), tick: 5.0,
 //!     list: ListSource::Pushed, list_deadline: 10_000.0, budget: None,
-//!     cold: ColdRule { initial_capacity: 0.2, warm_after: 10_000.0, overload_factor: 2.0, overload_time: 2000.0 },
+//!     cold: ColdRule {
+//!         initial_capacity: 0.2, warm_after: 10_000.0, overload_factor: 2.0, overload_time: 2000.0,
+//!     },
 //! };
 //! let mut aggregator = Aggregator::new(settings, 7);
 //! let members = (0..3)
@@ -42,7 +46,8 @@
 //! assert!(matches!(&actions[0], Action::Send { part: sent, .. } if *sent == part));
 //!
 //! let outcome = Outcome::Served;
-//! let actions = aggregator.on_batch(60.0, vec![Event::Ended { part, attempt: 0, outcome, elapsed: 55.0, load: None }]);
+//! let ended = Event::Ended { part, attempt: 0, outcome, elapsed: 55.0, load: None };
+//! let actions = aggregator.on_batch(60.0, vec![ended]);
 //! assert!(actions.contains(&Action::Answer { query, whole: true }));
 //! ```
 #![forbid(unsafe_code)]
--- a/crates/brookbend/src/reconfigure.rs
+++ b/crates/brookbend/src/reconfigure.rs
@@ -1,23 +1,24 @@
-//! Other settings for an aggregator that runs: what it knows of servers stays, and so do the queries it holds.
+//! Changes the settings of a running aggregator. Its knowledge of servers and its open queries are kept.
 //!
-//! Nothing here decides anything. Classes are known by their index, so that whoever changes the settings keeps the index of
-//! a class for as long as a query of it is in hand, and gives a class that changes a new one.
+//! Nothing is decided here. Classes are identified by their index, so that the caller keeps the index of a
+//! class while one of its queries is open, and gives a changed class a new index.
 
 use crate::api::*;
 use crate::choice::Aggregator;
 use crate::state::ClassEstimates;
 
-/// A class that begins at an index, and the one whose experience it takes over: itself, before it changed.
+/// A class that starts to use an index, and the class whose estimates it inherits: its own version before the
+/// change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NewClass {
-    /// Its index.
+    /// Index of the new class.
     pub class: ClassIndex,
-    /// Whose experience counts for it.
+    /// Class whose estimates are inherited; `None` to start without any.
     pub inherits_from: Option<ClassIndex>,
 }
 
 impl Aggregator {
-    /// Goes by these settings from the next batch on.
+    /// Applies new settings from the next batch on.
     pub fn reconfigure(&mut self, settings: Settings, new_classes: &[NewClass]) {
         let fresh = Aggregator::new(settings, 0);
         let first = fresh.learned.first().cloned().unwrap_or_default();
@@ -45,7 +46,8 @@
         self.desk.calendar.all_changed();
     }
 
-    /// Others begin at these tenants' indices: what the tenants before took of their shares is none of theirs.
+    /// Clears the accounts of tenant indices that other tenants start to use, so that earlier queries do not
+    /// count.
     pub fn reset_tenants(&mut self, tenants: &[usize]) {
         for tenant in tenants {
             self.tenant_arrivals.get_mut(*tenant).into_iter().for_each(|taken| taken.clear());
@@ -54,7 +56,7 @@
 }
 
 impl Aggregator {
-    /// The queries in hand are over by then, whatever their clients would wait.
+    /// Limits the deadline of all open queries to the given time, whatever their clients would wait.
     pub fn cap_deadlines(&mut self, at: Millis) {
         self.desk.queries.values_mut().for_each(|q| q.deadline = q.deadline.min(at));
         self.desk.calendar.all_changed();
@@ -78,8 +80,8 @@
         Member { node, cell: 0, state: NodeState::Serving, zone: None, started: (n == 2).then_some(900.0) }
     }
 
-    /// Who is passed over, and who is cold, stays so; a class that changed goes on from what it learned, a new one from
-    /// nothing.
+    /// Ejected and cold servers stay so. A changed class continues with its estimates, a new class starts
+    /// without any.
     #[test]
     fn what_is_known_of_servers_and_classes_stays() {
         let mut aggregator = Aggregator::new(settings(), 7);
--- a/crates/brookbend/src/refusals.rs
+++ b/crates/brookbend/src/refusals.rs
@@ -1,23 +1,24 @@
-//! Why queries are refused on arrival: the terms of the decision, kept for whoever has to explain it. Nothing here decides.
+//! Why queries are refused on arrival: the terms of the decision, kept to explain it. Nothing is decided
+//! here.
 
 use crate::api::{ClassIndex, Millis};
 
-/// What one arriving query was weighed by.
+/// Terms of the decision on one arriving query. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Assessment {
-    /// Its class.
+    /// Class of the query.
     pub class: ClassIndex,
-    /// Forecast of its parts, on the mean.
+    /// Mean forecast of the query's parts.
     pub mean: Millis,
-    /// Forecast of its slowest part.
+    /// Forecast of the query's slowest part.
     pub slowest: Millis,
-    /// What this aggregator itself needs for the parts that it has out and those of the query.
+    /// Time that this aggregator itself needs for the parts that it has in flight and those of the query.
     pub overhead: Millis,
-    /// Forecast of the query: between its parts' mean and the slowest, and what the aggregator needs.
+    /// Forecast of the query: between the mean and the slowest of its parts, plus the overhead.
     pub forecast: Millis,
-    /// What queries of its class take beyond their forecast, as far as it counts here.
+    /// Time that queries of this class take beyond their forecast, as far as it counts here.
     pub lag: Millis,
-    /// The time that forecast and lag may take together; not above 0 where the aim has passed.
+    /// Limit on the sum of forecast and lag; 0 or less if the aim has passed.
     pub allowed: Millis,
 }
 
@@ -27,7 +28,8 @@
         self.forecast + self.lag <= self.allowed
     }
 
-    /// The first term that alone is over what is allowed, from the plainest on. None where the query is let in.
+    /// Returns the first term that alone exceeds the limit, the simplest first; `None` if the query is
+    /// admitted.
     pub fn cause(&self) -> Option<Cause> {
         if self.admits() {
             None
@@ -45,22 +47,22 @@
     }
 }
 
-/// The term that a refusal on arrival rests on.
+/// The term that caused a refusal on arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// Its aim had passed: a repeat that came too late.
+    /// The aim had passed: a retry that came too late.
     PastAim,
-    /// The mean forecast of its parts.
+    /// Mean forecast of the query's parts.
     Mean,
-    /// The forecast of its slowest part.
+    /// Forecast of the query's slowest part.
     Slowest,
-    /// The time that this aggregator itself needs for what it has in hand.
+    /// Time that this aggregator itself needs for its open work.
     Overhead,
-    /// What queries take beyond their forecast.
+    /// Time that queries take beyond their forecast.
     Lag,
 }
 
-/// Counts of refusals on arrival since the start, by cause.
+/// Number of refusals on arrival since the start, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Refusals {
     /// See [`Cause::PastAim`].
@@ -73,9 +75,9 @@
     pub overhead: u64,
     /// See [`Cause::Lag`].
     pub lag: u64,
-    /// The newest of them.
+    /// Terms of the newest refusal.
     pub newest: Option<Assessment>,
-    /// Queries that were let in as probes, though they were forecast to be late.
+    /// Number of queries that were admitted as probes although they were forecast to be late.
     pub probes: u64,
 }
 
@@ -93,7 +95,7 @@
         self.newest = Some(assessment);
     }
 
-    /// All of them.
+    /// Returns the number of refusals over all causes.
     pub fn total(&self) -> u64 {
         self.past_aim + self.mean + self.slowest + self.overhead + self.lag
     }
--- a/crates/brookbend/src/settings.rs
+++ b/crates/brookbend/src/settings.rs
@@ -1,53 +1,53 @@
-//! Decodes the settings object, as the simulator sends it and as a real broker finds it in its configuration.
+//! Decodes the settings object that the simulator sends and that a broker's configuration contains.
 
 use crate::api::*;
 use serde_json::{Map, Value};
 
-/// The settings of a site: what the decisions need, and what only a program on sockets does.
+/// Settings of a site: those of the decisions, and those that only a broker on real sockets needs.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// What an aggregator is told at its start.
+    /// Settings of the decisions.
     pub settings: Settings,
     /// Names of the classes, in the order of their indices.
     pub class_names: Vec<String>,
-    /// Names of the tenants, likewise.
+    /// Names of the tenants, in the order of their indices.
     pub tenant_names: Vec<String>,
-    /// Names of the zones, likewise.
+    /// Names of the zones, in the order of their indices.
     pub zones: Vec<String>,
-    /// Most queries and parts that one aggregator may hold.
+    /// Maximum number of queries and parts that one aggregator may have open, counted together.
     pub max_open: Option<u64>,
-    /// Most parts that one connection carries at once.
+    /// Maximum number of parts in flight on one connection.
     pub multiplex: Option<u64>,
-    /// A connection must be up within this time.
+    /// Time in milliseconds within which a connection must be established.
     pub dial_timeout: Option<Millis>,
-    /// Servers close connections that have been idle for this long.
+    /// Idle time in milliseconds after which servers close a connection.
     pub keepalive: Option<Millis>,
 }
 
-/// A JSON object, with what an error about it has to name.
+/// A JSON object with the name that error messages use for it.
 pub struct JsonObject<'a> {
     name: &'a str,
     fields: &'a Map<String, Value>,
 }
 
 impl<'a> JsonObject<'a> {
-    /// The object of this name.
+    /// Wraps the fields of an object under the given name.
     pub fn new(name: &'a str, fields: &'a Map<String, Value>) -> Self {
         JsonObject { name, fields }
     }
-    /// What errors call it.
+    /// Name of the object in error messages.
     pub fn name(&self) -> &str {
         self.name
     }
-    /// An error that names this object and the field.
+    /// Returns an error that names this object and the field.
     pub fn bad<T>(&self, field: &str, what: &str) -> Result<T, String> {
         Err(format!("{}: field {field} {what}", self.name))
     }
-    /// A field, unless it is absent or null.
+    /// Returns a field; `None` if it is absent or null.
     pub fn get(&self, field: &str) -> Option<&Value> {
         self.fields.get(field).filter(|v| !v.is_null())
     }
-    /// A number that may be absent.
+    /// Returns an optional number.
     pub fn opt_number(&self, field: &str) -> Result<Option<f64>, String> {
         match self.get(field) {
             None => Ok(None),
@@ -57,14 +57,14 @@
             },
         }
     }
-    /// A number.
+    /// Returns a required number.
     pub fn number(&self, field: &str) -> Result<f64, String> {
         match self.opt_number(field)? {
             Some(n) => Ok(n),
             None => self.bad(field, "is missing"),
         }
     }
-    /// A whole number that may be absent.
+    /// Returns an optional integer that is not negative.
     pub fn opt_whole(&self, field: &str) -> Result<Option<u64>, String> {
         match self.get(field) {
             None => Ok(None),
@@ -74,14 +74,14 @@
             },
         }
     }
-    /// A whole number.
+    /// Returns a required integer that is not negative.
     pub fn whole(&self, field: &str) -> Result<u64, String> {
         match self.opt_whole(field)? {
             Some(n) => Ok(n),
             None => self.bad(field, "is missing"),
         }
     }
-    /// A string.
+    /// Returns a required string.
     pub fn text(&self, field: &str) -> Result<&str, String> {
         match self.get(field) {
             None => self.bad(field, "is missing"),
@@ -91,7 +91,7 @@
             },
         }
     }
-    /// A flag; absent means false.
+    /// Returns a flag; `false` if the field is absent.
     pub fn flag(&self, field: &str) -> Result<bool, String> {
         match self.get(field) {
             None => Ok(false),
@@ -101,7 +101,7 @@
             },
         }
     }
-    /// A list.
+    /// Returns a required list.
     pub fn list(&self, field: &str) -> Result<&Vec<Value>, String> {
         match self.get(field) {
             None => self.bad(field, "is missing"),
@@ -111,13 +111,13 @@
             },
         }
     }
-    /// A list of numbers.
+    /// Returns a required list of numbers.
     pub fn numbers(&self, field: &str) -> Result<Vec<f64>, String> {
         let list = self.list(field)?;
         let numbers: Vec<f64> = list.iter().filter_map(Value::as_f64).collect();
         if numbers.len() == list.len() { Ok(numbers) } else { self.bad(field, "is not a list of numbers") }
     }
-    /// An object inside this one.
+    /// Returns a required object inside this one.
     pub fn inner<'b>(&'b self, field: &'b str) -> Result<JsonObject<'b>, String> {
         match self.get(field) {
             None => self.bad(field, "is missing"),
@@ -127,7 +127,7 @@
             },
         }
     }
-    /// The objects of a list inside this one.
+    /// Returns the objects of a required list inside this one.
     pub fn objects<'b>(&'b self, field: &'b str) -> Result<Vec<JsonObject<'b>>, String> {
         let mut objects = Vec::new();
         for v in self.list(field)? {
@@ -179,7 +179,7 @@
     Ok(classes)
 }
 
-/// Reads the settings. The error names the faulty field.
+/// Decodes the settings. An error names the faulty field.
 pub fn decode(env: &JsonObject) -> Result<Site, String> {
     let family = env.inner("FamilyInfo")?;
     let allowed = env.inner("Allowed")?;
@@ -195,7 +195,7 @@
         rules.opt_number("ExtraRatio")?,
         rules.opt_number("RatioSpan")?,
     ) {
-        // A span alone rations nothing.
+        // A window without a limit restricts nothing.
         (None, None, _) => None,
         (spare, per_request, Some(span)) => Some(AttemptBudget {
             free_attempts: spare.unwrap_or(0.0),
@@ -229,7 +229,7 @@
         hedging: allowed.flag("SecondCopies")?,
         cancel: allowed.flag("Cancel")?,
         max_retry_after: if allowed.flag("RetryAfter")? {
-            // Advice to come back after no time is none.
+            // Advice to retry after no time is no advice.
             allowed.opt_number("MaxRetryAfter")?.filter(|most| *most > 0.0)
         } else {
             None
@@ -260,7 +260,7 @@
     })
 }
 
-/// The names of a list of named things; empty where the list is absent.
+/// Returns the names of a list of named objects; empty if the list is absent.
 fn names(env: &JsonObject, field: &str) -> Result<Vec<String>, String> {
     if env.get(field).is_none() {
         return Ok(Vec::new());
--- a/crates/brookbend/src/snapshot.rs
+++ b/crates/brookbend/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! What one process knows of servers and classes, for another that takes over: ages and waits, not moments, so that it
-//! means the same on another clock. Nothing here decides anything.
+//! What one process has learned of servers and classes, for a process that takes over. Times are ages and
+//! remaining waits, so that they mean the same on another clock. Nothing is decided here.
 
 use crate::api::*;
 use crate::choice::Aggregator;
@@ -7,78 +7,78 @@
 use crate::state::Server;
 use serde::{Deserialize, Serialize};
 
-/// All that is known.
+/// Everything that a process has learned.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The version of the list of servers that this rests on.
+    /// Revision of the server list that the snapshot is based on.
     pub rev: u64,
-    /// Time until an answer per work, over the fleet.
+    /// Time until an answer per unit of work, over the fleet.
     pub fleet_pace: f64,
-    /// Work served by each warm server in a millisecond.
+    /// Work served by each warm server per millisecond.
     pub served_rate: f64,
-    /// By server.
+    /// Estimates of each server.
     pub servers: Vec<ServerSnapshot>,
-    /// By class.
+    /// Estimates of each class.
     pub classes: Vec<ClassSnapshot>,
 }
 
 /// What is known of a server. Times are in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServerSnapshot {
-    /// Its name.
+    /// Name of the server.
     pub name: String,
-    /// Whether the list says that it drains or is gone.
+    /// Whether the list says that the server drains or has been removed.
     #[serde(rename = "leaving")]
     pub draining_or_gone: bool,
-    /// Time until an answer per work there.
+    /// Time until an answer per unit of work at the server.
     pub pace: f64,
-    /// How long ago it was heard; `None`: never.
+    /// Time since the last response; `None` if there was none.
     #[serde(rename = "heard_ago")]
     pub last_response_age: Option<f64>,
-    /// How long ago the newest attempt was sent that it served; `None`: there is none.
+    /// Time since the send of the newest attempt that was served; `None` if there is none.
     #[serde(rename = "served_ago")]
     pub last_served_sent_age: Option<f64>,
-    /// Share of failures of late, and failures in a row.
+    /// Smoothed share of failures, from 0 to 1.
     pub errors: f64,
-    /// See above.
+    /// Number of failures in a row.
     #[serde(rename = "failures")]
     pub consecutive_failures: u32,
-    /// It is passed over for this long still.
+    /// Remaining time of the server's ejection; 0 if it is not ejected.
     #[serde(rename = "shun_for")]
     pub ejected_for: f64,
-    /// It is full for this long still.
+    /// Remaining time for which the server counts as full; 0 if it does not.
     pub full_for: f64,
-    /// The length of its last ejection.
+    /// Length of the last ejection.
     pub ejection: f64,
-    /// Whether it went silent, and was not heard since.
+    /// Whether the server fell silent and has not responded since.
     #[serde(rename = "silent")]
     pub is_silent: bool,
-    /// Work sent to it while it is cold, within the rule's window: how long ago, and how much.
+    /// Work sent to the server while it is cold, within the rule's window: the age and the work of each send.
     pub cold_sent: Vec<(f64, f64)>,
 }
 
-/// What is known of a class.
+/// What is known of a class. Times are in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClassSnapshot {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Rows that a query touches.
+    /// Number of rows that a query touches.
     pub rows: f64,
     /// Work of a part.
     #[serde(rename = "unit")]
     pub work_per_part: f64,
-    /// How long queries take beyond their forecast.
+    /// Time that queries take beyond their forecast.
     pub lag: f64,
-    /// How long the second step takes.
+    /// Time that the second step takes.
     #[serde(rename = "second")]
     pub second_step_time: f64,
 }
 
 impl Aggregator {
-    /// All that is known at this moment. The classes come in the order of their indices, without their names.
+    /// Returns everything learned until now. Classes are in the order of their indices, without their names.
     pub fn snapshot(&self, now: Millis) -> Snapshot {
         let ago = |at: Millis| (at > f64::NEG_INFINITY).then_some((now - at).max(0.0));
-        let left = |until: Millis| (until - now).max(0.0);
+        let remaining = |until: Millis| (until - now).max(0.0);
         let from = now - self.settings.cold.overload_time;
         let server = |s: &Server| ServerSnapshot {
             name: s.node.0.as_ref().to_owned(),
@@ -88,8 +88,8 @@
             last_served_sent_age: ago(s.last_served_sent),
             errors: s.errors,
             consecutive_failures: s.consecutive_failures,
-            ejected_for: left(s.ejected_until),
-            full_for: left(s.full_until),
+            ejected_for: remaining(s.ejected_until),
+            full_for: remaining(s.full_until),
             ejection: s.ejection,
             is_silent: s.is_silent,
             cold_sent: s
@@ -115,19 +115,19 @@
         }
     }
 
-    /// Takes what another knew this long ago, where nothing is known here yet. A figure that is none is passed over. Its
-    /// classes are those here, by index; one without a name is nobody's.
+    /// Applies a snapshot that another process took `age` ago, where nothing is known here yet. Numbers that
+    /// are negative or not finite are ignored. Classes match by index; one without a name is skipped.
     pub fn restore(&mut self, now: Millis, age: Millis, r: &Snapshot) {
-        let figure = |n: f64| n.is_finite() && n >= 0.0;
-        let age = if figure(age) { age } else { 0.0 };
-        if figure(r.fleet_pace) && r.fleet_pace > 0.0 {
+        let is_valid = |n: f64| n.is_finite() && n >= 0.0;
+        let age = if is_valid(age) { age } else { 0.0 };
+        if is_valid(r.fleet_pace) && r.fleet_pace > 0.0 {
             (self.fleet_pace, self.fleet_rescaled) = (r.fleet_pace, r.fleet_pace);
         }
-        if figure(r.served_rate) {
+        if is_valid(r.served_rate) {
             self.desk.served_rate = self.desk.served_rate.max(r.served_rate);
         }
         for (learned, known) in self.learned.iter_mut().zip(&r.classes).filter(|(_, k)| !k.name.is_empty()) {
-            if [known.rows, known.work_per_part, known.lag, known.second_step_time].into_iter().all(figure)
+            if [known.rows, known.work_per_part, known.lag, known.second_step_time].into_iter().all(is_valid)
                 && known.work_per_part > 0.0
             {
                 learned.width.rows = known.rows.max(1.0);
@@ -139,18 +139,19 @@
         for known in &r.servers {
             let Some(&i) = self.fleet.by_name.get(&NodeId(known.name.as_str().into())) else { continue };
             let s = &mut self.fleet.servers[i];
-            for (ago, work) in known.cold_sent.iter().filter(|(ago, work)| figure(*ago) && figure(*work)) {
+            for (ago, work) in known.cold_sent.iter().filter(|(ago, work)| is_valid(*ago) && is_valid(*work))
+            {
                 if ago + age < window && s.cold_since.is_some() {
                     s.cold_sends.push_back((now - ago - age, *work));
                 }
             }
-            let fresh = s.last_response_at == f64::NEG_INFINITY && s.consecutive_failures == 0;
-            let sound = [known.pace, known.errors, known.ejected_for, known.full_for, known.ejection];
-            if !fresh || !sound.into_iter().all(figure) || known.errors > 1.0 {
+            let unknown = s.last_response_at == f64::NEG_INFINITY && s.consecutive_failures == 0;
+            let values = [known.pace, known.errors, known.ejected_for, known.full_for, known.ejection];
+            if !unknown || !values.into_iter().all(is_valid) || known.errors > 1.0 {
                 continue;
             }
             let at =
-                |ago: Option<f64>| ago.filter(|a| figure(*a)).map_or(f64::NEG_INFINITY, |a| now - a - age);
+                |ago: Option<f64>| ago.filter(|a| is_valid(*a)).map_or(f64::NEG_INFINITY, |a| now - a - age);
             s.pace = Pace::new(known.pace, known.pace);
             s.last_response_at = at(known.last_response_age);
             s.last_served_sent = at(known.last_served_sent_age);
@@ -197,7 +198,8 @@
         aggregator.report_outcomes(1000.0, ClassIndex(0), &[bulk(0, 8, 0), bulk(1, 0, 8)]);
     }
 
-    /// The new one passes over whom the old one did, for as long as that would have, and knows who is well.
+    /// The new process ejects the servers that the old one had ejected, until the same time, and knows which
+    /// are healthy.
     #[test]
     fn what_was_known_is_known_by_another() {
         let mut old = aggregator();
@@ -212,7 +214,7 @@
         assert!(is[0].ejected_until.is_none() && is[0].pace == was[0].pace && is[1].errors == was[1].errors);
     }
 
-    /// What was sent to a cold server within the window counts for the one that takes over.
+    /// Work sent to a cold server within the window counts for the process that takes over.
     #[test]
     fn the_allowance_of_a_cold_server_is_spent_once() {
         let mut snapshot = aggregator().snapshot(1000.0);
--- a/crates/brookbend/src/view.rs
+++ b/crates/brookbend/src/view.rs
@@ -1,6 +1,7 @@
-//! What the module holds of each server, to be read by whoever hands its decisions on; and what others saw, in bulk.
+//! The module's view of each server, for a caller that passes it on, and outcomes reported by other
+//! processes.
 //!
-//! Nothing here decides anything: reports go through the same records as the module's own attempts.
+//! Reports update the same records as the module's own attempts; nothing is decided here.
 
 use crate::api::*;
 use crate::choice::Aggregator;
@@ -8,48 +9,49 @@
 use crate::refusals::Refusals;
 use crate::state::{InFlight, Server};
 
-/// Most attempts that one report stands for. Health is a matter of shares and of failures in a row: what a thousand
-/// attempts say beyond this is no news, and would drown what others report.
-const SAMPLES: u64 = 8;
+/// Maximum number of attempts that one report counts for. Health depends on shares and on failures in a row:
+/// further attempts would add no information, and would outweigh the reports of others.
+const MAX_SAMPLES: u64 = 8;
 
-/// One server as the module sees it.
+/// State of one server as the module knows it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerView {
-    /// The server.
+    /// Name of the server.
     pub node: NodeId,
-    /// Its cell.
+    /// Index of the server's cell.
     pub cell: usize,
-    /// Its zone.
+    /// Index of the server's zone; `None` if the list names none.
     pub zone: Option<usize>,
-    /// Its state in the list.
+    /// State of the server in the list.
     pub state: NodeState,
-    /// Until when it is passed over for its failures, or since it is full.
+    /// Time until which the server is not used because of failures or because it is full; `None` if it is
+    /// used.
     pub ejected_until: Option<Millis>,
-    /// When it started, if it may still be cold.
+    /// Time at which the server started, if it may still be cold.
     pub cold_since: Option<Millis>,
-    /// Time until an answer per work out there, against the fleet's: 1 is usual.
+    /// Time until an answer per unit of outstanding work, relative to the fleet: 1 is usual.
     pub pace: f64,
-    /// Share of failures of late.
+    /// Smoothed share of failures, from 0 to 1.
     pub errors: f64,
 }
 
-/// What others saw at a server over some time, as a load report tells it.
+/// Outcomes that other processes saw at a server over some time, from a load report.
 #[derive(Clone, Debug)]
 pub struct OutcomeCounts {
-    /// The server.
+    /// Name of the server.
     pub node: NodeId,
-    /// Attempts that were served.
+    /// Number of attempts that were served.
     pub served: u64,
-    /// Attempts that ended in an error.
+    /// Number of attempts that ended in an error.
     pub errors: u64,
-    /// Attempts that met no connection, or lost it.
+    /// Number of attempts that found no connection or lost it.
     pub lost: u64,
-    /// Mean time of those that were served; `None`: not told.
+    /// Mean time of the served attempts in milliseconds; `None` if it was not reported.
     pub elapsed: Option<Millis>,
 }
 
 impl Aggregator {
-    /// All servers that the list names, by name. Those that are gone are left out.
+    /// Returns all servers in the list, by name, except those that have been removed.
     pub fn views(&self, now: Millis) -> Vec<ServerView> {
         let fleet = &self.fleet;
         let view = |s: &Server| ServerView {
@@ -66,32 +68,33 @@
         servers.filter(|s| s.state != NodeState::Gone).map(view).collect()
     }
 
-    /// How many servers the list names that are not gone, and how many of these are passed over.
+    /// Returns the number of servers in the list that have not been removed, and how many of these are
+    /// ejected.
     pub fn server_counts(&self, now: Millis) -> (usize, usize) {
         let fleet = &self.fleet;
         let servers = fleet.by_name.values().map(|i| &fleet.servers[*i]);
         let named = servers.filter(|s| s.state != NodeState::Gone);
-        named.fold((0, 0), |(all, out), s| (all + 1, out + usize::from(s.ejected_until > now)))
+        named.fold((0, 0), |(all, ejected), s| (all + 1, ejected + usize::from(s.ejected_until > now)))
     }
 
-    /// Whether the list names a server. It looks no further than to the first: unlike [`Aggregator::views`] it costs nothing
-    /// that grows with them.
+    /// Whether the list names a server. Unlike [`Aggregator::views`] it stops at the first, so that its cost
+    /// does not grow with the fleet.
     pub fn has_servers(&self) -> bool {
         self.fleet.by_name.values().any(|i| self.fleet.servers[*i].state != NodeState::Gone)
     }
 
-    /// Queries that were refused on arrival, and why.
+    /// Returns the counts of queries refused on arrival, by cause.
     pub fn refusals(&self) -> Refusals {
         self.desk.refusals
     }
 
-    /// How many servers it holds records of.
+    /// Returns the number of servers of which records are kept.
     pub fn servers_known(&self) -> usize {
         self.fleet.servers.len()
     }
 
-    /// Takes what others saw since the last report, as a few attempts in the same proportion: failures first, so that the
-    /// answers beside them tell of a server that is up.
+    /// Applies the outcomes that other processes saw since the last report, as a few attempts in the same
+    /// proportion. Failures come first, so that the answers show that the server is up.
     pub fn report_outcomes(&mut self, now: Millis, class: ClassIndex, reports: &[OutcomeCounts]) {
         let Some(learned) = self.learned.get(class.0) else { return };
         let (work, scale) = (learned.work.unit().max(1.0), learned.work.scale());
@@ -99,12 +102,12 @@
         for r in reports {
             let Some(&server) = self.fleet.by_name.get(&r.node) else { continue };
             let all = r.served + r.errors + r.lost;
-            let of = |n: u64| if all <= SAMPLES { n } else { (n * SAMPLES).div_ceil(all) };
+            let scaled = |n: u64| if all <= MAX_SAMPLES { n } else { (n * MAX_SAMPLES).div_ceil(all) };
             let usual = work * self.fleet_pace;
             let ends =
                 [(Outcome::ConnectionLost, r.lost), (Outcome::Error, r.errors), (Outcome::Served, r.served)];
             for (outcome, n) in ends {
-                for _ in 0..of(n) {
+                for _ in 0..scaled(n) {
                     let elapsed = r.elapsed.unwrap_or(usual);
                     let sent = now - elapsed.min(usual);
                     let flight = InFlight {
--- a/crates/brookbend/tests/first_answers.rs
+++ b/crates/brookbend/tests/first_answers.rs
@@ -1,13 +1,11 @@
-//! What the first answers of a class tell forecasts by, where a part takes far more than the guess that they begin with.
+//! Guards against forecasts that are far too long after the first answers of a class whose parts take much
+//! more time than the initial estimate.
 //!
-//! What happened: one query of hundreds of parts was served whole by an idle fleet, and the next 59 were refused on arrival.
-//!
-//! Why: a forecast is a server's pace times the work of a part. The 690 answers of one query step the work from its guess
-//! (2 ms) up to what they took (35 ms), while each server's pace was told the same 35 ms once, against the guess, and moved
-//! to 4. The next forecast was 4 times 35 ms, at an aim of 75 ms; refused queries bring no answers that would mend it.
-//!
-//! What showed it: the terms of each refusal. The slowest part's forecast was 140 ms of a work of 35 ms at servers with
-//! nothing in hand, and the lag that queries show beyond their forecast had learned the way from the guess as well.
+//! A forecast is a server's pace times the work of a part. The 690 answers of one query raised the work from
+//! its initial 2 ms to the measured 35 ms, while each server's pace, which saw the same 35 ms once against
+//! the initial work, rose to 4. The next forecast was 4 times 35 ms at an aim of 75 ms, and refused queries
+//! bring no answers that could correct it: an idle fleet served one query of hundreds of parts and refused
+//! the next 59. The lag of queries behind their forecast had learned the same error.
 
 mod common;
 
@@ -15,11 +13,11 @@
 use brookbend::api::*;
 use common::{class, member, ring};
 
-/// Each answer takes so long.
+/// Time in milliseconds that each answer takes.
 const TAKES: Millis = 35.0;
 const AIM: Millis = 75.0;
 
-/// Nothing happens for so long but the turns that it asked for: else it would seem to have stood still.
+/// Lets time pass with only the turns that the aggregator requested: without them it would count as paused.
 fn rest(a: &mut Aggregator, now: &mut Millis, span: Millis) {
     let end = *now + span;
     while *now + 1.0 <= end {
@@ -29,12 +27,12 @@
     *now = end;
 }
 
-/// One query after another at servers that have nothing else to do; how many are refused.
+/// Sends one query after another to idle servers and returns the number that were refused.
 fn refused(parts: usize, cells: usize, queries: u64) -> usize {
     refused_with_pauses(parts, cells, queries, 77.0)
 }
 
-/// The same with so long between the answer of one and the next.
+/// The same with a pause between an answer and the next query.
 fn refused_with_pauses(parts: usize, cells: usize, queries: u64, pause: Millis) -> usize {
     let set = Settings {
         classes: vec![Class { aim: AIM, give_up: 1000.0, ..class() }],
@@ -80,7 +78,7 @@
             }
         }
         rest(&mut a, &mut now, TAKES);
-        // They come over a few turns.
+        // The answers come over several turns.
         for of in sent.chunks(parts.div_ceil(4)) {
             let (outcome, load) = (Outcome::Served, None);
             let ended = |part: &RequestId| Event::Ended {
@@ -107,7 +105,7 @@
     }
 }
 
-/// What was learned fades while nothing is heard, so that the same guess is met again.
+/// Estimates fade without responses, so that the same initial estimate is met again.
 #[test]
 fn a_wide_query_after_a_quiet_time_makes_none_look_unservable() {
     const QUIET: Millis = 20_000.0;
--- a/crates/brookbend/tests/left_out.rs
+++ b/crates/brookbend/tests/left_out.rs
@@ -1,12 +1,12 @@
-//! Parts that a query can do without while their servers are behind.
+//! Tests of parts that a query can do without while their servers are behind.
 
 mod common;
 
 use brookbend::api::*;
 use common::*;
 
-/// Four cells of one server; class 0 needs all parts, class 1 may be answered from half of them. The server of cell 0 has
-/// turned away so many parts in a row.
+/// Four cells of one server each; class 0 needs all parts, class 1 may be answered from half of them. The
+/// server of cell 0 has rejected the given number of parts in a row.
 fn stand(turned_away: u32) -> Stand {
     let partial = Class { floor: 0.5, ..class() };
     let set = Settings {
@@ -22,7 +22,7 @@
         let sent = sends(&s.ask(&format!("full{k}"), &[0]));
         assert_eq!(sent.len(), 1);
         s.step(5.0, vec![ended(&sent[0].0, 0, Outcome::Full, 5.0)]);
-        // It is passed over for longer each time: asked again just after that.
+        // Each ejection is longer: send the next query just after it.
         if k + 1 < turned_away {
             s.step(190.0 * f64::from(1 << k), vec![]);
         }
@@ -67,7 +67,7 @@
 #[test]
 fn no_more_is_left_out_than_the_floor_allows() {
     let mut s = stand(2);
-    // Shards 0 and 4 are the full server's: two thirds of this query, of which half is needed.
+    // Shards 0 and 4 are held by the full server: two thirds of this query, of which half is needed.
     assert_eq!(ask_partial(&mut s, &[0, 1, 4]).len(), 2);
 }
 
--- a/crates/brookbend/tests/module.rs
+++ b/crates/brookbend/tests/module.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions, without the bench.
+//! Tests of the decisions, run on the module alone without the benchmark.
 
 mod common;
 
@@ -19,7 +19,7 @@
     sends(actions).into_iter().map(|s| s.1).collect()
 }
 
-// ---- the ordinary path
+// ---- rows and calls
 
 #[test]
 fn on_a_ring_neighbouring_shards_meet_at_one_server() {
@@ -45,7 +45,7 @@
     }
 }
 
-/// The second part of a cell does not leave its row for the work of the first: they share a call.
+/// The second part of a cell stays in its row in spite of the first part's work: the two share a call.
 #[test]
 fn heavy_parts_of_a_cell_share_a_call() {
     let mut s = Stand::new(Settings { call_work: 60.0, ..sets() }, 4);
@@ -83,7 +83,7 @@
 
 #[test]
 fn width_narrows_with_full_answers_and_widens_without() {
-    // How many servers a query of six neighbouring shards meets tells its width: 6 servers for one row.
+    // The number of servers that a query of six adjacent shards uses shows its width: 6 servers for one row.
     let set = || Settings { max_attempts: 1, call_work: 10.0, ..ring() };
     let mut s = Stand::new(set(), 1);
     let before = sends(&s.ask("before", &[0, 1, 2, 3, 4, 5]));
@@ -105,7 +105,7 @@
     assert!(still <= 3, "still wide: {still}");
 }
 
-// ---- borrowing and health
+// ---- choice of a server and health
 
 #[test]
 fn a_silent_server_is_passed_over_before_any_time_out() {
@@ -158,7 +158,7 @@
     assert!(finals(&actions).is_empty());
 }
 
-// ---- further attempts
+// ---- retries and hedges
 
 #[test]
 fn an_overdue_part_gets_a_second_copy_elsewhere() {
@@ -172,8 +172,8 @@
     assert_ne!(copies[0].1, first[0].1);
 }
 
-/// A single answer that is lost, or a single slow server, must not cost the query: with one attempt out at a
-/// time the overdue one is called off first, and only what that proves lets another go.
+/// One lost answer or one slow server must not cost the query: where only one attempt may be in flight, the
+/// overdue one is cancelled first, and only its reported end allows another.
 #[test]
 fn an_overdue_part_is_called_off_and_sent_elsewhere_where_no_copy_is_allowed() {
     let mut s = Stand::new(Settings { hedging: false, ..ring() }, 1);
@@ -187,7 +187,8 @@
     assert!((0..20).all(|_| sends(&s.step(10.0, vec![])).is_empty()));
 }
 
-/// On a calm day an answer that takes somewhat longer than forecast is on its way: to call it off wastes its work.
+/// On an idle fleet an answer that takes somewhat longer than forecast is on its way: cancelling wastes its
+/// work.
 #[test]
 fn what_is_merely_slow_is_not_called_off() {
     let mut s = Stand::new(Settings { hedging: false, ..ring() }, 1);
@@ -203,8 +204,8 @@
     assert!(called_off(30, vec![]));
 }
 
-/// Crossing zones costs: a row holder elsewhere is left sooner. Rows are still drawn at random: one that is
-/// not behind at all keeps its part.
+/// Crossing zones has a cost: a row holder in another zone is left sooner. Rows are still drawn at random: a
+/// holder that is not behind at all keeps its part.
 #[test]
 fn a_holder_in_our_own_zone_is_preferred_where_it_is_not_behind() {
     let set = Settings { zone: Some(1), cells: 1, reach: 1, batch: 1, ..ring() };
@@ -214,7 +215,7 @@
     s.step(5.0, vec![Event::List { kind: ListKind::Complete, members }]);
     let even = s.traffic(90, &[], Outcome::Served);
     assert!(even.values().all(|n| *n > 15), "{even:?}");
-    // Somewhat slower elsewhere, by less than what justifies to leave a row holder in our own zone.
+    // Slightly slower in the other zone, by less than what justifies leaving a row holder in the own zone.
     let mut seen = std::collections::BTreeMap::new();
     for n in 0..90 {
         for (part, node, _) in sends(&s.ask(&format!("u{n}"), &[0])) {
@@ -341,12 +342,12 @@
     let started = Some(s.now);
     let members = vec![Member { started, ..member("c1n0", 1) }];
     s.step(5.0, vec![Event::List { kind: ListKind::Changes, members }]);
-    // Least capacity of one core at the start, times the multiple and the window, for one of two aggregators.
+    // Least capacity of one core at the start, times the factor and the window, for one of two aggregators.
     let room = 0.2 * 2.0 * 2000.0 / 2.0;
     let mut work = 0.0;
     for k in 0..40 {
         let sent = sends(&s.ask(&format!("q{k}"), &[0, 1]));
-        // A part is at first taken for twice a call's work.
+        // A part is first assumed to cost twice the work of a call.
         work += sent.iter().filter(|t| t.1 == "c1n0").count() as f64 * 40.0;
         s.step(10.0, sent.iter().map(|t| ended(&t.0, 0, Outcome::Served, 40.0)).collect());
     }
@@ -416,7 +417,7 @@
     assert!(turned_down > 100, "nothing ever comes back, yet only {turned_down} were refused");
 }
 
-/// Asks so many single-part queries in a row that are answered at once; they show the usual patience.
+/// Sends the given number of single-part queries, answered at once, which establish the usual time-out.
 fn usual(s: &mut Stand, n: usize, patience: Millis) {
     for k in 0..n {
         let events = s.query(&format!("u{k}-{patience}"), 0, &[0], patience);
@@ -425,7 +426,7 @@
     }
 }
 
-/// A query whose attempts all fail at once; says when it came.
+/// Sends a query whose attempts all fail at once, and returns when it arrived.
 fn unserved(s: &mut Stand, name: &str) -> Millis {
     let events = s.query(name, 0, &[0], 3500.0);
     let mut actions = s.step(5.0, events);
@@ -441,7 +442,7 @@
 
 #[test]
 fn a_repeat_past_its_aim_is_told_by_its_shortened_time() {
-    // The client's whole patience is 4000: with 2000 left of a usual 3500 it first asked 2000 ago.
+    // The client's full time-out is 4000: with 2000 left of a usual 3500 it first asked 2000 ago.
     let class = Class { late_worth: 0.0, ..class() };
     let mut s = Stand::new(Settings { classes: vec![class], ..ring() }, 1);
     usual(&mut s, 20, 3500.0);
@@ -453,8 +454,8 @@
     assert_eq!(sends(&s.step(5.0, events)).len(), 1);
 }
 
-/// Where none went unserved at the time at which they would have begun, they are no repeats: refused as such, impatient
-/// clients would never be served again.
+/// If no query went unserved at the time at which they would have begun, they are no retries: refused as
+/// such, clients with short time-outs would never be served again.
 #[test]
 fn clients_that_turn_impatient_are_not_taken_for_repeats() {
     let class = Class { late_worth: 0.0, ..class() };
@@ -478,8 +479,8 @@
 
 #[test]
 fn what_a_bad_spell_taught_does_not_lock_an_idle_fleet() {
-    // Queries end long after their forecast, at servers whose answers show the usual pace; a class of much more
-    // worth leaves this one the least share of its time.
+    // Queries end long after their forecast, at servers whose answers show the usual pace. A class of much
+    // higher worth leaves this one the lowest share of its time.
     let poor = Class { late_worth: 0.0, ..class() };
     let rich = Class { worth: 50.0, ..poor.clone() };
     let mut s = Stand::new(Settings { classes: vec![poor, rich], max_attempts: 1, ..ring() }, 1);
@@ -496,8 +497,9 @@
     assert!(taken[40..].iter().any(|t| *t), "locked out: {taken:?}");
 }
 
-/// How many of ten one-part queries, 10 apart, the only holder gets after it was silent for so long. Its first answer then
-/// comes over a connection that is up since that moment, if that is told.
+/// Returns how many of ten one-part queries, 10 ms apart, the only holder gets after it was silent for the
+/// given time. Its first answer then comes over a connection that has been up since `connected`, if that is
+/// known.
 fn sent_after_silence(silence: Millis, connected: Option<Millis>) -> usize {
     let mut set = ring();
     (set.cells, set.reach, set.max_attempts) = (1, 1, 1);
@@ -528,7 +530,7 @@
     assert!(cold < 20, "after long silence it gets its cold allowance: {cold}");
 }
 
-/// Guards against slow servers that are spared as if they had restarted, and against restarts that go unnoticed.
+/// Guards against slow servers being spared as if they had restarted, and against restarts going unnoticed.
 #[test]
 fn a_server_that_answers_over_a_connection_from_before_its_silence_did_not_restart() {
     assert_eq!(sent_after_silence(3900.0, Some(0.0)), 20, "the connection is older than its last answer");
@@ -541,7 +543,7 @@
     let mut set = ring();
     (set.cells, set.reach, set.hedging) = (1, 1, false);
     let mut s = Stand::new(set, 2);
-    // Both servers keep one part unanswered, and answer all others.
+    // Both servers leave one part unanswered and answer all others.
     let mut lost = BTreeSet::new();
     for k in 0..60 {
         let sent = sends(&s.ask(&format!("q{k}"), &[0]));
@@ -552,7 +554,7 @@
     }
 }
 
-// ---- the list, odd input, determinism
+// ---- the list, malformed input, determinism
 
 #[test]
 fn a_failed_list_is_asked_again_after_a_while() {
@@ -626,8 +628,9 @@
 
 // ---- many aggregators
 
-/// Work that so many aggregators together send a cold server in one window of the rule, and the rule's room.
-/// Each asks a query in so many milliseconds, and has done so for as long as told before the server starts.
+/// Returns the work that the given number of aggregators send a cold server in one window of the rule, and
+/// the limit of the rule. Each sends a query every `every` ms, and has done so for `before` ms before the
+/// server starts.
 fn cold_sum(aggregators: usize, every: Millis, before: Millis) -> (f64, f64) {
     let set = Settings { aggregators, cells: 1, reach: 1, ..ring() };
     let mut work = 0.0;
@@ -640,9 +643,9 @@
             s.step(every * seed as f64 / aggregators as f64, vec![]);
             while s.now < end {
                 let sent = sends(&s.ask(&format!("q{}", s.now), &[0]));
-                // A part counts by its own work, at first taken for twice a call's.
+                // A part counts by its own work, first assumed to be twice a call's.
                 work += sent.iter().filter(|t| t.1 == "cold").count() as f64 * 40.0;
-                // What the server answers is no more than it can do: nothing, where all ask far more.
+                // The server answers no more than its capacity: nothing, where all send far more.
                 let answers = if before > 0.0 { sent } else { vec![] };
                 let answers = answers.iter().map(|t| ended(&t.0, 0, Outcome::Served, 40.0)).collect();
                 s.step((every - 5.0).min(40.0), answers);
@@ -654,14 +657,14 @@
         s.step(5.0, vec![Event::List { kind: ListKind::Changes, members }]);
         ask_for(&mut s, 1900.0);
     }
-    // The least capacity at the end of the window, of one core.
+    // The least capacity of one core at the end of the window.
     (work, 2.0 * (0.2 + 0.8 * 0.2) * 2000.0)
 }
 
 #[test]
 fn rule_many_aggregators_together_keep_to_a_cold_servers_multiple() {
     for aggregators in [1, 2, 10, 60, 120] {
-        // All have just started and ask far more than can be served; or have long asked what fills one core.
+        // All have just started and send far more than can be served, or have long sent what fills one core.
         for (every, before) in [(100.0, 0.0), (50.0 * aggregators as f64, 20_000.0)] {
             let (work, room) = cold_sum(aggregators, every, before);
             assert!(work <= room, "{aggregators} aggregators sent {work} of {room}");
@@ -672,7 +675,7 @@
 
 #[test]
 fn own_pause_blames_no_server() {
-    // The same outcomes, seen in time or after this aggregator stood still.
+    // The same outcomes, noticed in time or after this process was paused.
     let met = |pause: bool| {
         let mut s = Stand::new(ring(), 1);
         usual(&mut s, 10, 4000.0);
@@ -693,7 +696,7 @@
 
 #[test]
 fn a_copy_goes_sooner_where_the_copy_is_quick() {
-    // Two aggregators whose attempt is out equally long; one of them has filled the other holder.
+    // Two aggregators whose attempt has been in flight equally long; one of them has filled the other holder.
     let wait = |filled: bool| {
         let mut s = Stand::new(Settings { cells: 1, reach: 1, ..ring() }, 2);
         usual(&mut s, 20, 4000.0);
@@ -718,7 +721,7 @@
 fn a_server_that_cannot_be_reached_is_passed_over_at_once_and_longer_each_time() {
     let mut s = Stand::new(ring(), 1);
     usual(&mut s, 12, 4000.0);
-    // How long until it is met again after each refused connection, with traffic all the time.
+    // Times until the server is used again after each refused connection, under constant traffic.
     let mut gaps = Vec::new();
     let mut last = None;
     for k in 0..1500 {
@@ -739,7 +742,7 @@
 
 #[test]
 fn a_zone_that_falls_silent_is_met_at_a_few_servers_only() {
-    // Shard s of cell s alone, two holders each: one in the silent zone, one in the other.
+    // Shard s is held by cell s alone, with two holders: one in the silent zone, one in the other.
     let silent_sends = |zones: bool| {
         let mut s = Stand::new(Settings { cells: 12, reach: 1, aggregators: 1, ..ring() }, 0);
         let zone = |z| zones.then_some(z);
@@ -762,9 +765,9 @@
     assert!(silent_sends(true) < silent_sends(false), "{} {}", silent_sends(true), silent_sends(false));
 }
 
-// ---- refusals and their advice
+// ---- refusals and retry advice
 
-/// The advice on a query of this class that no server can take, with so much of its time gone already.
+/// Returns the advice on a query of this class that no server can take, when part of its time has passed.
 fn advice(class: Class, most: Millis) -> Option<Millis> {
     let mut s = Stand::new(Settings { classes: vec![class], max_retry_after: Some(most), ..ring() }, 0);
     match finals(&s.ask("q", &[0])).as_slice() {
@@ -775,7 +778,7 @@
 
 #[test]
 fn a_refused_client_is_asked_back_while_its_repeat_can_be_in_time() {
-    // Clients heed up to twice the aim: coming back then would earn nothing.
+    // Clients heed up to twice the aim: a retry at that time would earn nothing.
     let back = advice(class(), 2000.0).unwrap();
     assert!(back > 0.0 && back < 500.0, "{back} of an aim of 1000");
     assert_eq!(advice(class(), 100.0), Some(100.0), "never longer than clients heed");
@@ -783,7 +786,7 @@
 
 #[test]
 fn keyed_queries_are_refused_with_advice_only_inside_their_window() {
-    // All attempts may have run; the class's window is long or over by the time a client would be back.
+    // All attempts may have run; the class's window is long, or over by the time a client would retry.
     let last = |window: Millis| {
         let class = Class { semantics: Semantics::Keyed { window }, ..class() };
         let mut s = Stand::new(Settings { classes: vec![class], max_attempts: 1, ..ring() }, 1);
@@ -818,7 +821,7 @@
 #[test]
 fn a_partial_first_answer_leaves_the_second_step_its_time() {
     let mut s = Stand::new(two_steps(), 1);
-    // Second steps take 300 of an aim of 1000 here.
+    // Second steps take 300 ms of an aim of 1000 ms here.
     for k in 1..30 {
         let name = format!("u{k}");
         s.ask(&name, &[0]);
@@ -836,7 +839,7 @@
 
 #[test]
 fn a_partial_answer_waits_for_what_may_still_come() {
-    // One part of four is out of attempts early; the others are merely slower.
+    // One part of four runs out of attempts early; the others are merely slow.
     let class = Class { floor: 0.5, late_worth: 0.0, ..class() };
     let mut s = Stand::new(Settings { classes: vec![class], max_attempts: 1, ..ring() }, 1);
     s.ask("q", &[0, 1, 2, 3]);
@@ -847,7 +850,7 @@
     assert_eq!(finals(&s.step(100.0, vec![served("q.3")])), vec![partial]);
 }
 
-// ---- thin views
+// ---- aggregators that see little traffic
 
 #[test]
 fn a_server_that_turns_all_away_is_passed_over_longer_each_time() {
@@ -907,7 +910,7 @@
 
 #[test]
 fn rule_one_that_carries_most_fills_a_cold_server_by_what_warm_ones_served() {
-    // One of sixty aggregators carries nearly all: its even part would be a part in ten seconds.
+    // One of sixty aggregators carries nearly all: its even part would be one part in ten seconds.
     let set = Settings { aggregators: 60, cells: 1, reach: 1, ..ring() };
     let mut s = Stand::new(set, 0);
     let warm = |n: &str| member(n, 0);
@@ -931,11 +934,11 @@
     s.step(5.0, vec![Event::List { kind: ListKind::Changes, members: list }]);
     let (cold, all) = count(&mut s, 2, "cold");
     assert!(cold >= 4, "{cold} of {all} parts went to the cold one");
-    // The multiple, 2, of the most that it can do by then, 0.36, of what one of three warm ones is sent.
+    // The factor, 2, times the largest capacity by then, 0.36, times what one of three warm servers is sent.
     assert!((cold as f64) < 2.0 * 0.36 * all as f64 / 3.0, "{cold} of {all}");
 }
 
-// ---- queries that break servers
+// ---- queries that crash servers
 
 #[test]
 fn a_query_whose_attempts_break_connections_is_not_tried_further() {
@@ -987,7 +990,7 @@
     let class = Class { late_worth: 0.0, ..class() };
     let mut s = Stand::new(Settings { classes: vec![class], cells: 1, reach: 1, ..ring() }, 2);
     usual(&mut s, 10, 4000.0);
-    // Each time both holders turn a part away they are passed over for longer.
+    // Each time both holders reject a part they are ejected for longer.
     let mut last = vec![];
     for k in 0..12 {
         let mut open = sends(&s.ask(&format!("q{k}"), &[0]));
@@ -1003,7 +1006,7 @@
     assert!(!sends(&s.ask("later", &[0])).is_empty(), "once one may be tried it is");
 }
 
-/// A server that is passed over gets nothing, so that it looks idle: a query must not be taken for its sake.
+/// An ejected server gets no work, so that it looks idle: no query must be admitted because of that.
 #[test]
 fn a_query_is_refused_while_the_holders_that_it_would_go_to_are_filled() {
     let mut s = Stand::new(Settings { cells: 1, reach: 1, hedging: false, ..ring() }, 3);
@@ -1023,7 +1026,7 @@
     assert!((10..50).contains(&taken), "{taken} of 60 were taken, though two servers answer none");
 }
 
-/// Over a long day every server is replaced again and again under new names: nothing may grow with them.
+/// Over a long day each server is replaced many times under new names: no state may grow with them.
 #[test]
 fn servers_that_are_gone_are_forgotten_once_nothing_refers_to_them() {
     let mut s = Stand::new(Settings { cells: 1, reach: 1, ..ring() }, 0);
@@ -1038,13 +1041,14 @@
         s.traffic(1, &[], Outcome::Served);
     }
     assert!(s.a.servers_known() < 15, "{}", s.a.servers_known());
-    // An end that comes late still finds its server, and no other: the attempts are kept as they were.
+    // A late end still finds its server, and no other: the attempts are kept as they were.
     let ends = out.iter().map(|(part, _, _)| ended(part, 0, Outcome::TimedOut, 4000.0)).collect();
     s.step(1500.0, ends);
     assert_eq!(s.traffic(20, &[], Outcome::Served).values().sum::<usize>(), 20);
 }
 
-/// A server puts one report into many answers. A repeat shows nothing new: what it tells of drains with time.
+/// A server puts one report into many answers. A repeated report shows nothing new: its effect decays with
+/// time.
 #[test]
 fn a_load_report_that_is_repeated_grows_old() {
     let sent_to_a = |repeated: bool| {
@@ -1057,7 +1061,7 @@
         for n in 0..200 {
             for (part, node, _) in sends(&s.ask(&format!("q{n}"), &[0])) {
                 seen += usize::from(node == "a" && n > 20);
-                // From `a`: it held 9 once, or 9 and a bit more each time.
+                // Server `a` reported 9 once, or slightly more than 9 each time.
                 let held = 9.0 + if repeated { 0.0 } else { n as f64 / 1000.0 };
                 let load = Some(if node == "a" { held } else { 0.0 });
                 let end = Event::Ended {
@@ -1076,8 +1080,8 @@
     assert!(old > new + 10, "{old} with an old report, {new} with new ones");
 }
 
-/// Servers close single connections all day. One that goes on answering is not passed over for it, and a query
-/// that met two of those is tried on.
+/// Servers close single connections all day. One that continues to answer is not ejected for it, and a query
+/// that met two of those is retried.
 #[test]
 fn a_connection_lost_beside_answers_is_no_dead_server_and_no_poison() {
     let mut s = Stand::new(Settings { hedging: false, ..sets() }, 1);
