--- a/crates/brookbend/src/lib.rs
+++ b/crates/brookbend/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! For each query the module chooses how many replica rows to use, spreads the query's parts over those rows
 //! by round robin, and bundles the parts for one server into one call. It detects failing servers from the
-//! outcomes of its own attempts, retries and hedges within a budget, answers, and refuses queries that cannot be
-//! served in time.
+//! outcomes of its own attempts, retries and hedges within a budget, answers, and refuses queries that cannot
+//! be served in time.
 //!
 //! The module does no input or output: the caller hands it events and carries out the returned actions.
 //!
--- a/crates/brookbend/src/probe.rs
+++ b/crates/brookbend/src/probe.rs
@@ -70,7 +70,7 @@
     }
 
     #[test]
-    fn a_probe_that_is_not_served_holds_up_the_next_for_the_interval_alone() {
+    fn an_unserved_probe_delays_the_next_by_the_interval() {
         let (first, second) = (RequestId::Query(1), RequestId::Query(2));
         let mut probes = refused();
         assert!(probes.admits(&first, 1000.0));
@@ -79,7 +79,7 @@
     }
 
     #[test]
-    fn a_probe_that_is_served_makes_way_for_the_next() {
+    fn a_served_probe_allows_the_next_at_once() {
         let (first, second) = (RequestId::Query(1), RequestId::Query(2));
         let mut probes = refused();
         assert!(probes.admits(&first, 1000.0));
--- a/crates/brookbend/src/reconfigure.rs
+++ b/crates/brookbend/src/reconfigure.rs
@@ -83,7 +83,7 @@
     /// Ejected and cold servers stay so. A changed class continues with its estimates, a new class starts
     /// without any.
     #[test]
-    fn what_is_known_of_servers_and_classes_stays() {
+    fn knowledge_of_servers_and_classes_is_kept() {
         let mut aggregator = Aggregator::new(settings(), 7);
         let members = (0..3).map(member).collect();
         aggregator.on_batch(1000.0, vec![Event::List { kind: ListKind::Complete, members }]);
--- a/crates/brookbend/src/refusals.rs
+++ b/crates/brookbend/src/refusals.rs
@@ -106,7 +106,7 @@
     use super::*;
 
     #[test]
-    fn a_refusal_counts_under_the_first_term_that_is_too_much() {
+    fn a_refusal_counts_under_the_first_term_over_the_limit() {
         let class = ClassIndex(0);
         let in_time = Assessment {
             class,
--- a/crates/brookbend/src/snapshot.rs
+++ b/crates/brookbend/src/snapshot.rs
@@ -187,7 +187,7 @@
         aggregator
     }
 
-    fn sick(aggregator: &mut Aggregator) {
+    fn report_failures(aggregator: &mut Aggregator) {
         let bulk = |n: usize, served, errors| crate::view::OutcomeCounts {
             node: NodeId(format!("s{n}").into()),
             served,
@@ -201,9 +201,9 @@
     /// The new process ejects the servers that the old one had ejected, until the same time, and knows which
     /// are healthy.
     #[test]
-    fn what_was_known_is_known_by_another() {
+    fn a_restored_snapshot_keeps_ejections_and_health() {
         let mut old = aggregator();
-        sick(&mut old);
+        report_failures(&mut old);
         let mut snapshot = old.snapshot(1100.0);
         snapshot.classes.iter_mut().for_each(|c| c.name = "c".into());
         let mut new = aggregator();
@@ -216,7 +216,7 @@
 
     /// Work sent to a cold server within the window counts for the process that takes over.
     #[test]
-    fn the_allowance_of_a_cold_server_is_spent_once() {
+    fn the_allowance_of_a_cold_server_is_used_once() {
         let mut snapshot = aggregator().snapshot(1000.0);
         let cold = snapshot.servers.iter_mut().find(|s| s.name == "s2").unwrap();
         cold.cold_sent = vec![(100.0, 40.0), (950.0, 9.0), (f64::NAN, 1.0)];
@@ -226,17 +226,17 @@
         assert_eq!(
             spent.as_slice(),
             [(200.0, 40.0)],
-            "what has left the window, and what is no figure, is left out"
+            "sends outside the window and invalid numbers are ignored"
         );
     }
 
     #[test]
-    fn own_news_goes_before_what_another_knew_and_noise_is_passed_over() {
+    fn own_outcomes_precede_a_snapshot_and_invalid_numbers_are_ignored() {
         let mut old = aggregator();
-        sick(&mut old);
+        report_failures(&mut old);
         let mut snapshot = old.snapshot(1000.0);
         let mut new = aggregator();
-        sick(&mut new);
+        report_failures(&mut new);
         let before = new.snapshot(1200.0);
         new.restore(1200.0, 0.0, &Snapshot { fleet_pace: f64::NAN, served_rate: 0.0, ..snapshot.clone() });
         assert_eq!(new.snapshot(1200.0).servers, before.servers);
--- a/crates/brookbend/src/view.rs
+++ b/crates/brookbend/src/view.rs
@@ -192,12 +192,12 @@
         aggregator
     }
 
-    fn bulk(n: usize, served: u64, errors: u64, lost: u64) -> OutcomeCounts {
+    fn counts(n: usize, served: u64, errors: u64, lost: u64) -> OutcomeCounts {
         OutcomeCounts { node: NodeId(format!("s{n}").into()), served, errors, lost, elapsed: Some(10.0) }
     }
 
     #[test]
-    fn views_tell_what_the_list_and_the_clock_say() {
+    fn views_follow_the_list_and_the_clock() {
         let aggregator = aggregator();
         let seen: Vec<_> =
             aggregator.views(200.0).into_iter().map(|v| (v.cell, v.state, v.cold_since)).collect();
@@ -212,20 +212,20 @@
     }
 
     #[test]
-    fn what_others_saw_ejects_a_server_as_own_attempts_would_and_its_recovery_shows() {
+    fn reported_outcomes_eject_a_server_and_show_its_recovery() {
         let mut aggregator = aggregator();
         let class = ClassIndex(0);
         aggregator.report_outcomes(
             1000.0,
             class,
-            &[bulk(0, 0, 500, 0), bulk(1, 500, 1, 0), bulk(9, 0, 5, 0)],
+            &[counts(0, 0, 500, 0), counts(1, 500, 1, 0), counts(9, 0, 5, 0)],
         );
         let views = aggregator.views(1001.0);
         assert!(views[0].ejected_until.is_some() && views[1].ejected_until.is_none(), "{views:?}");
         assert!(views[0].errors > 0.4 && views[1].errors < 0.2, "{views:?}");
         assert_eq!(aggregator.server_counts(1001.0), (3, 1));
-        aggregator.report_outcomes(9000.0, class, &[bulk(0, 500, 0, 0)]);
+        aggregator.report_outcomes(9000.0, class, &[counts(0, 500, 0, 0)]);
         assert!(aggregator.views(9001.0)[0].errors < 0.2);
-        aggregator.report_outcomes(9002.0, ClassIndex(7), &[bulk(0, 1, 1, 1)]);
+        aggregator.report_outcomes(9002.0, ClassIndex(7), &[counts(0, 1, 1, 1)]);
     }
 }
--- a/crates/brookbend/tests/first_answers.rs
+++ b/crates/brookbend/tests/first_answers.rs
@@ -14,11 +14,11 @@
 use common::{class, member, ring};
 
 /// Time in milliseconds that each answer takes.
-const TAKES: Millis = 35.0;
+const ANSWER_TIME: Millis = 35.0;
 const AIM: Millis = 75.0;
 
 /// Lets time pass with only the turns that the aggregator requested: without them it would count as paused.
-fn rest(a: &mut Aggregator, now: &mut Millis, span: Millis) {
+fn pass_time(a: &mut Aggregator, now: &mut Millis, span: Millis) {
     let end = *now + span;
     while *now + 1.0 <= end {
         *now += 1.0;
@@ -77,7 +77,7 @@
                 _ => {}
             }
         }
-        rest(&mut a, &mut now, TAKES);
+        pass_time(&mut a, &mut now, ANSWER_TIME);
         // The answers come over several turns.
         for of in sent.chunks(parts.div_ceil(4)) {
             let (outcome, load) = (Outcome::Served, None);
@@ -85,7 +85,7 @@
                 part: part.clone(),
                 attempt: 0,
                 outcome,
-                elapsed: TAKES,
+                elapsed: ANSWER_TIME,
                 load,
             };
             let did = a.on_batch(now, of.iter().map(ended).collect());
@@ -93,13 +93,13 @@
                 did.iter().filter(|d| matches!(d, Action::Refuse { .. } | Action::Fail { .. })).count();
             now += 1.0;
         }
-        rest(&mut a, &mut now, pause);
+        pass_time(&mut a, &mut now, pause);
     }
     refused
 }
 
 #[test]
-fn a_wide_query_that_is_served_makes_none_after_it_look_unservable() {
+fn no_query_is_refused_after_a_wide_query_that_was_served() {
     for (parts, cells) in [(690, 690), (690, 1400), (690, 3900), (200, 400), (30, 100), (4, 8)] {
         assert_eq!(refused(parts, cells, 60), 0, "{parts} parts over {cells} servers");
     }
@@ -107,7 +107,7 @@
 
 /// Estimates fade without responses, so that the same initial estimate is met again.
 #[test]
-fn a_wide_query_after_a_quiet_time_makes_none_look_unservable() {
-    const QUIET: Millis = 20_000.0;
-    assert_eq!(refused_with_pauses(690, 1400, 8, QUIET), 0);
+fn no_query_is_refused_after_a_wide_query_and_a_pause() {
+    const PAUSE: Millis = 20_000.0;
+    assert_eq!(refused_with_pauses(690, 1400, 8, PAUSE), 0);
 }
--- a/crates/brookbend/tests/left_out.rs
+++ b/crates/brookbend/tests/left_out.rs
@@ -7,7 +7,7 @@
 
 /// Four cells of one server each; class 0 needs all parts, class 1 may be answered from half of them. The
 /// server of cell 0 has rejected the given number of parts in a row.
-fn stand(turned_away: u32) -> Stand {
+fn stand(rejected: u32) -> Stand {
     let partial = Class { floor: 0.5, ..class() };
     let set = Settings {
         cells: 4,
@@ -18,12 +18,12 @@
         ..ring()
     };
     let mut s = Stand::new(set, 1);
-    for k in 0..turned_away {
+    for k in 0..rejected {
         let sent = sends(&s.ask(&format!("full{k}"), &[0]));
         assert_eq!(sent.len(), 1);
         s.step(5.0, vec![ended(&sent[0].0, 0, Outcome::Full, 5.0)]);
         // Each ejection is longer: send the next query just after it.
-        if k + 1 < turned_away {
+        if k + 1 < rejected {
             s.step(190.0 * f64::from(1 << k), vec![]);
         }
     }
@@ -40,43 +40,43 @@
 }
 
 #[test]
-fn a_part_whose_server_is_full_is_left_out_and_the_rest_answers() {
+fn a_part_whose_server_is_full_is_omitted_and_the_rest_answers() {
     let mut s = stand(5);
     let sent = ask_partial(&mut s, &[0, 1, 2, 3]);
     assert_eq!(sent, ["q.1", "q.2", "q.3"]);
     let served = serve(&mut s, &sent);
-    assert!(finals(&served).is_empty(), "it may still come");
+    assert!(finals(&served).is_empty(), "the omitted part may still be served");
     let later = s.step(600.0, vec![]);
     assert!(sends(&later).is_empty());
     assert_eq!(finals(&later), [Action::Answer { query: id("q"), whole: false }]);
 }
 
 #[test]
-fn a_part_that_was_left_out_goes_once_its_server_has_room() {
+fn an_omitted_part_is_sent_once_its_server_has_capacity() {
     let mut s = stand(1);
     let sent = ask_partial(&mut s, &[0, 1, 2, 3]);
     assert_eq!(sent, ["q.1", "q.2", "q.3"]);
     serve(&mut s, &sent);
     let later = s.step(300.0, vec![]);
     let late: Vec<_> = sends(&later).into_iter().map(|t| t.0).collect();
-    assert_eq!(late, ["q.0"], "the server turned a part away a while ago and may have room again");
+    assert_eq!(late, ["q.0"], "the server rejected a part some time ago and may have capacity again");
     let end = serve(&mut s, &late);
     assert_eq!(finals(&end), [Action::Answer { query: id("q"), whole: true }]);
 }
 
 #[test]
-fn no_more_is_left_out_than_the_floor_allows() {
+fn no_more_is_omitted_than_the_floor_allows() {
     let mut s = stand(2);
     // Shards 0 and 4 are held by the full server: two thirds of this query, of which half is needed.
     assert_eq!(ask_partial(&mut s, &[0, 1, 4]).len(), 2);
 }
 
 #[test]
-fn parts_that_failed_for_good_count_as_left_out() {
+fn parts_without_attempts_left_count_as_omitted() {
     let mut s = stand(5);
     let sent = ask_partial(&mut s, &[0, 1, 2, 3]);
     let failed = |p: &String| ended(p, 0, Outcome::Error, 20.0);
     let end = s.step(20.0, vec![failed(&sent[0]), failed(&sent[1])]);
     let more: Vec<_> = sends(&end).into_iter().map(|t| t.0).collect();
-    assert_eq!(more, ["q.0"], "without it the floor is out of reach");
+    assert_eq!(more, ["q.0"], "without it the floor cannot be reached");
 }
--- a/crates/brookbend/tests/module.rs
+++ b/crates/brookbend/tests/module.rs
@@ -22,7 +22,7 @@
 // ---- rows and calls
 
 #[test]
-fn on_a_ring_neighbouring_shards_meet_at_one_server() {
+fn on_a_ring_adjacent_shards_share_a_server() {
     let mut s = Stand::new(Settings { call_work: 10.0, ..ring() }, 1);
     let actions = s.ask("q", &[0, 1, 2, 3, 4, 5]);
     let sent = sends(&actions);
@@ -32,7 +32,7 @@
         let cell: usize = node[1..2].parse().unwrap();
         assert!((cell + 6 - shard) % 6 < 3, "{part} went to {node}, which does not hold it");
     }
-    assert!(servers(&actions).len() <= 3, "three rows of neighbours bundle three parts a call");
+    assert!(servers(&actions).len() <= 3, "three adjacent rows send three parts a call");
 }
 
 #[test]
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn uneven_and_empty_cells_are_served_by_what_there_is() {
+fn uneven_and_empty_cells_are_served_by_the_remaining_servers() {
     let mut s = Stand::new(ring(), 1);
     let gone = |n: &str, c| Member { state: NodeState::Gone, ..member(n, c) };
     let members = vec![gone("c1n0", 1), gone("c2n0", 2), member("c0n1", 0)];
@@ -108,7 +108,7 @@
 // ---- choice of a server and health
 
 #[test]
-fn a_silent_server_is_passed_over_before_any_time_out() {
+fn a_silent_server_is_avoided_before_any_time_out() {
     let mut s = Stand::new(ring(), 1);
     for k in 0..6 {
         let sent = sends(&s.ask(&format!("w{k}"), &[0]));
@@ -124,19 +124,19 @@
 }
 
 #[test]
-fn a_server_of_quick_errors_is_ejected_and_tried_again_later() {
+fn a_server_with_quick_errors_is_ejected_and_tried_again_later() {
     let mut s = Stand::new(ring(), 1);
     let first = s.traffic(60, &["c1n0"], Outcome::Error)["c1n0"];
-    assert!(first < 20, "{first} of 60 queries met the failing server");
+    assert!(first < 20, "{first} of 60 queries were sent to the failing server");
     for _ in 0..100 {
         s.step(100.0, vec![]);
     }
     let later = s.traffic(60, &[], Outcome::Served);
-    assert!(later.get("c1n0").is_some_and(|n| *n > 3), "healed, it is used again: {later:?}");
+    assert!(later.get("c1n0").is_some_and(|n| *n > 3), "after its recovery it is used again: {later:?}");
 }
 
 #[test]
-fn the_last_holder_is_used_however_it_looks() {
+fn the_last_holder_is_used_whatever_its_health() {
     let mut set = ring();
     set.reach = 1;
     let mut s = Stand::new(set, 1);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn hints_that_lie_do_not_refuse_a_query() {
+fn wrong_hints_do_not_refuse_a_query() {
     let mut s = Stand::new(ring(), 1);
     let mut events = s.query("q", 0, &[0, 1], 4000.0);
     for e in &mut events {
@@ -161,7 +161,7 @@
 // ---- retries and hedges
 
 #[test]
-fn an_overdue_part_gets_a_second_copy_elsewhere() {
+fn an_overdue_part_is_hedged_at_another_server() {
     let mut s = Stand::new(ring(), 1);
     let first = sends(&s.ask("q", &[0]));
     let mut copies = Vec::new();
@@ -175,7 +175,7 @@
 /// One lost answer or one slow server must not cost the query: where only one attempt may be in flight, the
 /// overdue one is cancelled first, and only its reported end allows another.
 #[test]
-fn an_overdue_part_is_called_off_and_sent_elsewhere_where_no_copy_is_allowed() {
+fn without_hedging_an_overdue_part_is_cancelled_and_sent_elsewhere() {
     let mut s = Stand::new(Settings { hedging: false, ..ring() }, 1);
     let first = sends(&s.ask("q", &[0]));
     let cancel = Action::Cancel { part: id("q.0"), attempt: 0 };
@@ -190,7 +190,7 @@
 /// On an idle fleet an answer that takes somewhat longer than forecast is on its way: cancelling wastes its
 /// work.
 #[test]
-fn what_is_merely_slow_is_not_called_off() {
+fn a_slow_attempt_is_not_cancelled() {
     let mut s = Stand::new(Settings { hedging: false, ..ring() }, 1);
     // Three holders, three parts each: the last waits behind two others, and then sees all holders idle.
     let parts: Vec<_> = (0..9).flat_map(|n| sends(&s.ask(&format!("t{n}"), &[0]))).collect();
@@ -207,7 +207,7 @@
 /// Crossing zones has a cost: a row holder in another zone is left sooner. Rows are still drawn at random: a
 /// holder that is not behind at all keeps its part.
 #[test]
-fn a_holder_in_our_own_zone_is_preferred_where_it_is_not_behind() {
+fn a_holder_in_the_own_zone_is_preferred_unless_it_is_behind() {
     let set = Settings { zone: Some(1), cells: 1, reach: 1, batch: 1, ..ring() };
     let mut s = Stand::new(set, 0);
     let zoned = |n: usize| Member { zone: Some(n), ..member(&format!("z{n}"), 0) };
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn no_second_copy_where_none_is_allowed() {
+fn without_hedging_no_second_attempt_is_sent() {
     let mut s = Stand::new(Settings { hedging: false, cancel: false, ..ring() }, 1);
     s.ask("q", &[0]);
     for _ in 0..60 {
@@ -278,13 +278,13 @@
             assert!(used <= room, "{used} further attempts, room for {room}");
         }
     }
-    assert!(extras.len() > 5, "the budget is there to be used");
+    assert!(extras.len() > 5, "the budget must be used");
 }
 
 // ---- rules 1, 2, 3, 5
 
 #[test]
-fn rule_one_final_answer_before_the_clients_time_is_up() {
+fn rule_one_final_answer_before_the_clients_deadline() {
     let mut s = Stand::new(ring(), 1);
     let mut all = Vec::new();
     let events = s.query("q", 0, &[0, 1], 1500.0);
@@ -304,7 +304,7 @@
     let mut s = Stand::new(Settings { classes: vec![class], ..ring() }, 1);
     s.ask("q", &[0]);
     let again = s.step(5.0, vec![ended("q.0", 0, Outcome::Full, 5.0)]);
-    assert_eq!(sends(&again).len(), 1, "turned away: it never ran");
+    assert_eq!(sends(&again).len(), 1, "rejected as full: it never ran");
     let mut after = s.step(5.0, vec![ended("q.0", 1, Outcome::ConnectionLost, 5.0)]);
     for _ in 0..900 {
         after.extend(s.step(5.0, vec![]));
@@ -351,7 +351,7 @@
         work += sent.iter().filter(|t| t.1 == "c1n0").count() as f64 * 40.0;
         s.step(10.0, sent.iter().map(|t| ended(&t.0, 0, Outcome::Served, 40.0)).collect());
     }
-    assert!(work > 0.0, "it is not left out either");
+    assert!(work > 0.0, "it gets some work");
     assert!(work <= room, "{work} of {room}");
 }
 
@@ -373,18 +373,18 @@
 }
 
 #[test]
-fn any_k_asks_just_enough_and_the_rest_when_one_fails() {
+fn any_k_sends_just_enough_parts_and_the_rest_when_one_fails() {
     let class = Class { need: 0.67, floor: 0.67, ..class() };
     let mut s = Stand::new(Settings { classes: vec![class], ..ring() }, 1);
     let sent = sends(&s.ask("q", &[0, 1, 2, 3, 4, 5]));
     assert_eq!(sent.len(), 5);
     let more = sends(&s.step(10.0, vec![ended(&sent[0].0, 0, Outcome::Error, 10.0)]));
-    assert_eq!(more.len(), 2, "the part left out, and the failed one again");
+    assert_eq!(more.len(), 2, "the part held back, and the failed one again");
     let events = sent[1..].iter().map(|t| ended(&t.0, 0, Outcome::Served, 20.0));
     let events: Vec<_> = events.chain([ended(&more[0].0, 0, Outcome::Served, 5.0)]).collect();
     let last = s.step(10.0, events);
     assert_eq!(finals(&last), vec![whole("q")]);
-    assert!(last.iter().any(|a| matches!(a, Action::Cancel { .. })), "what is out is called off");
+    assert!(last.iter().any(|a| matches!(a, Action::Cancel { .. })), "attempts in flight are cancelled");
 }
 
 #[test]
@@ -414,11 +414,11 @@
         }
         s.step(20.0, vec![]);
     }
-    assert!(turned_down > 100, "nothing ever comes back, yet only {turned_down} were refused");
+    assert!(turned_down > 100, "no answer ever arrives, yet only {turned_down} were refused");
 }
 
 /// Sends the given number of single-part queries, answered at once, which establish the usual time-out.
-fn usual(s: &mut Stand, n: usize, patience: Millis) {
+fn establish_time_out(s: &mut Stand, n: usize, patience: Millis) {
     for k in 0..n {
         let events = s.query(&format!("u{k}-{patience}"), 0, &[0], patience);
         let sent = sends(&s.step(5.0, events));
@@ -441,11 +441,11 @@
 }
 
 #[test]
-fn a_repeat_past_its_aim_is_told_by_its_shortened_time() {
+fn a_retry_past_its_aim_is_recognized_by_its_shorter_time_out() {
     // The client's full time-out is 4000: with 2000 left of a usual 3500 it first asked 2000 ago.
     let class = Class { late_worth: 0.0, ..class() };
     let mut s = Stand::new(Settings { classes: vec![class], ..ring() }, 1);
-    usual(&mut s, 20, 3500.0);
+    establish_time_out(&mut s, 20, 3500.0);
     let came = unserved(&mut s, "lost");
     s.step(came + 1995.0 - s.now, vec![]);
     let events = s.query("again", 0, &[0], 2000.0);
@@ -457,10 +457,10 @@
 /// If no query went unserved at the time at which they would have begun, they are no retries: refused as
 /// such, clients with short time-outs would never be served again.
 #[test]
-fn clients_that_turn_impatient_are_not_taken_for_repeats() {
+fn clients_that_shorten_their_time_out_are_not_taken_for_retries() {
     let class = Class { late_worth: 0.0, ..class() };
     let mut s = Stand::new(Settings { classes: vec![class], ..ring() }, 1);
-    usual(&mut s, 20, 3500.0);
+    establish_time_out(&mut s, 20, 3500.0);
     let came = unserved(&mut s, "lost");
     s.step(came + 1900.0 - s.now, vec![]);
     let events = s.query("impatient", 0, &[0], 2000.0);
@@ -468,17 +468,17 @@
 }
 
 #[test]
-fn one_patient_client_does_not_make_all_others_repeats() {
+fn one_client_with_a_long_time_out_does_not_make_all_others_retries() {
     let class = Class { late_worth: 0.0, ..class() };
     let mut s = Stand::new(Settings { classes: vec![class], ..ring() }, 1);
-    usual(&mut s, 10, 2500.0);
-    usual(&mut s, 1, 4000.0);
+    establish_time_out(&mut s, 10, 2500.0);
+    establish_time_out(&mut s, 1, 4000.0);
     let events = s.query("q", 0, &[0], 2500.0);
     assert_eq!(sends(&s.step(5.0, events)).len(), 1);
 }
 
 #[test]
-fn what_a_bad_spell_taught_does_not_lock_an_idle_fleet() {
+fn estimates_from_a_slow_period_do_not_lock_out_an_idle_fleet() {
     // Queries end long after their forecast, at servers whose answers show the usual pace. A class of much
     // higher worth leaves this one the lowest share of its time.
     let poor = Class { late_worth: 0.0, ..class() };
@@ -494,7 +494,7 @@
             !sent.is_empty()
         })
         .collect();
-    assert!(taken[40..].iter().any(|t| *t), "locked out: {taken:?}");
+    assert!(taken[40..].iter().any(|t| *t), "all are refused: {taken:?}");
 }
 
 /// Returns how many of ten one-part queries, 10 ms apart, the only holder gets after it was silent for the
@@ -504,7 +504,7 @@
     let mut set = ring();
     (set.cells, set.reach, set.max_attempts) = (1, 1, 1);
     let mut s = Stand::new(set, 1);
-    usual(&mut s, 10, 4000.0);
+    establish_time_out(&mut s, 10, 4000.0);
     for k in 0..6 {
         s.ask(&format!("q{k}"), &[0]);
     }
@@ -539,7 +539,7 @@
 }
 
 #[test]
-fn a_part_lost_on_its_own_does_not_mark_its_server() {
+fn a_single_lost_part_does_not_mark_its_server() {
     let mut set = ring();
     (set.cells, set.reach, set.hedging) = (1, 1, false);
     let mut s = Stand::new(set, 2);
@@ -557,7 +557,7 @@
 // ---- the list, malformed input, determinism
 
 #[test]
-fn a_failed_list_is_asked_again_after_a_while() {
+fn a_failed_list_request_is_repeated_after_a_wait() {
     let mut a = Aggregator::new(Settings { list: ListSource::OnRequest, ..ring() }, 3);
     assert!(a.on_batch(0.0, vec![]).contains(&Action::Watch));
     assert!(!a.on_batch(5.0, vec![]).contains(&Action::Watch));
@@ -570,7 +570,7 @@
 }
 
 #[test]
-fn odd_events_are_ignored_or_answered_by_the_rules() {
+fn malformed_events_are_ignored_or_answered_by_the_rules() {
     let mut s = Stand::new(ring(), 1);
     let stray = vec![
         ended("nobody", 7, Outcome::Served, f64::NAN),
@@ -589,7 +589,7 @@
     for _ in 0..900 {
         last.extend(s.step(5.0, vec![]));
     }
-    assert_eq!(finals(&last).len(), 1, "a query with no parts is ended too");
+    assert_eq!(finals(&last).len(), 1, "a query without parts ends too");
 }
 
 #[test]
@@ -616,7 +616,7 @@
 }
 
 #[test]
-fn the_module_is_short_enough_to_read_aloud() {
+fn the_decisions_stay_within_their_length_limit() {
     let text = include_str!("../src/choice.rs");
     let policy = [text, include_str!("../src/room.rs")];
     let lines = policy.iter().flat_map(|t| t.lines()).filter(|l| !l.trim().is_empty()).count();
@@ -662,23 +662,23 @@
 }
 
 #[test]
-fn rule_many_aggregators_together_keep_to_a_cold_servers_multiple() {
+fn rule_many_aggregators_together_keep_to_a_cold_servers_limit() {
     for aggregators in [1, 2, 10, 60, 120] {
         // All have just started and send far more than can be served, or have long sent what fills one core.
         for (every, before) in [(100.0, 0.0), (50.0 * aggregators as f64, 20_000.0)] {
             let (work, room) = cold_sum(aggregators, every, before);
             assert!(work <= room, "{aggregators} aggregators sent {work} of {room}");
-            assert!(work > 0.0, "{aggregators} aggregators leave it no turn at all");
+            assert!(work > 0.0, "{aggregators} aggregators send it nothing at all");
         }
     }
 }
 
 #[test]
-fn own_pause_blames_no_server() {
+fn a_pause_of_the_aggregator_is_not_blamed_on_servers() {
     // The same outcomes, noticed in time or after this process was paused.
     let met = |pause: bool| {
         let mut s = Stand::new(ring(), 1);
-        usual(&mut s, 10, 4000.0);
+        establish_time_out(&mut s, 10, 4000.0);
         let sent = sends(&s.ask("q", &[0, 6, 12, 18]));
         let events = sent.iter().map(|t| ended(&t.0, 0, Outcome::TimedOut, 900.0)).collect();
         let end = s.now + 900.0;
@@ -690,16 +690,16 @@
         let sick = sent[0].1.clone();
         (0..12).filter(|k| servers(&s.ask(&format!("n{k}"), &[0])).contains(&sick)).count()
     };
-    assert!(met(true) > 0, "the aggregator stood still, not the server");
+    assert!(met(true) > 0, "the aggregator was paused, not the server");
     assert_eq!(met(false), 0);
 }
 
 #[test]
-fn a_copy_goes_sooner_where_the_copy_is_quick() {
+fn a_hedge_is_sent_sooner_where_it_is_fast() {
     // Two aggregators whose attempt has been in flight equally long; one of them has filled the other holder.
     let wait = |filled: bool| {
         let mut s = Stand::new(Settings { cells: 1, reach: 1, ..ring() }, 2);
-        usual(&mut s, 20, 4000.0);
+        establish_time_out(&mut s, 20, 4000.0);
         let first = sends(&s.ask("q", &[0]))[0].clone();
         if filled {
             for k in 0..12 {
@@ -718,9 +718,9 @@
 }
 
 #[test]
-fn a_server_that_cannot_be_reached_is_passed_over_at_once_and_longer_each_time() {
+fn an_unreachable_server_is_ejected_at_once_and_longer_each_time() {
     let mut s = Stand::new(ring(), 1);
-    usual(&mut s, 12, 4000.0);
+    establish_time_out(&mut s, 12, 4000.0);
     // Times until the server is used again after each refused connection, under constant traffic.
     let mut gaps = Vec::new();
     let mut last = None;
@@ -736,12 +736,12 @@
         let events = sends(&more).iter().map(|t| ended(&t.0, 1, Outcome::Served, 20.0)).collect();
         s.step(0.0, events);
     }
-    assert!(gaps.len() > 2 && gaps[0] > 300.0, "met again after {gaps:?}");
+    assert!(gaps.len() > 2 && gaps[0] > 300.0, "used again after {gaps:?}");
     assert!(gaps[1] > gaps[0], "{gaps:?}");
 }
 
 #[test]
-fn a_zone_that_falls_silent_is_met_at_a_few_servers_only() {
+fn a_silent_zone_is_detected_at_a_few_servers() {
     // Shard s is held by cell s alone, with two holders: one in the silent zone, one in the other.
     let silent_sends = |zones: bool| {
         let mut s = Stand::new(Settings { cells: 12, reach: 1, aggregators: 1, ..ring() }, 0);
@@ -777,11 +777,11 @@
 }
 
 #[test]
-fn a_refused_client_is_asked_back_while_its_repeat_can_be_in_time() {
+fn retry_advice_leaves_time_for_the_retry() {
     // Clients heed up to twice the aim: a retry at that time would earn nothing.
     let back = advice(class(), 2000.0).unwrap();
     assert!(back > 0.0 && back < 500.0, "{back} of an aim of 1000");
-    assert_eq!(advice(class(), 100.0), Some(100.0), "never longer than clients heed");
+    assert_eq!(advice(class(), 100.0), Some(100.0), "not longer than clients heed");
 }
 
 #[test]
@@ -794,7 +794,7 @@
         finals(&s.step(200.0, vec![ended("q.0", 0, Outcome::Error, 200.0)]))
     };
     assert_eq!(last(1000.0), vec![refused("q")]);
-    assert_eq!(last(250.0), vec![Action::Fail { query: id("q") }], "a repeat could take effect again");
+    assert_eq!(last(250.0), vec![Action::Fail { query: id("q") }], "a retry could take effect again");
 }
 
 // ---- second steps
@@ -814,7 +814,7 @@
     let mut s = Stand::new(two_steps(), 1);
     s.ask("q", &[0]);
     assert_eq!(finals(&s.step(20.0, vec![ended("q.0", 0, Outcome::Served, 20.0)])), vec![whole("q")]);
-    assert!(finals(&s.step(5.0, vec![])).is_empty(), "its parts are still on their way");
+    assert!(finals(&s.step(5.0, vec![])).is_empty(), "its parts have not arrived yet");
     assert_eq!(sends(&s.step(5.0, vec![second_part("x", 1)])).len(), 1);
 }
 
@@ -838,7 +838,7 @@
 }
 
 #[test]
-fn a_partial_answer_waits_for_what_may_still_come() {
+fn a_partial_answer_waits_for_parts_that_may_still_be_served() {
     // One part of four runs out of attempts early; the others are merely slow.
     let class = Class { floor: 0.5, late_worth: 0.0, ..class() };
     let mut s = Stand::new(Settings { classes: vec![class], max_attempts: 1, ..ring() }, 1);
@@ -853,9 +853,9 @@
 // ---- aggregators that see little traffic
 
 #[test]
-fn a_server_that_turns_all_away_is_passed_over_longer_each_time() {
+fn a_server_that_rejects_everything_is_ejected_longer_each_time() {
     let mut s = Stand::new(ring(), 1);
-    usual(&mut s, 12, 4000.0);
+    establish_time_out(&mut s, 12, 4000.0);
     let mut met = Vec::new();
     for k in 0..1500 {
         let sent = sends(&s.ask(&format!("q{k}"), &[0]));
@@ -882,10 +882,10 @@
 }
 
 #[test]
-fn a_load_report_moves_parts_to_a_holder_that_others_left_idle() {
+fn a_load_report_moves_parts_to_an_idle_holder() {
     let met = |held: f64| {
         let mut s = Stand::new(Settings { cells: 1, reach: 1, ..ring() }, 2);
-        usual(&mut s, 4, 4000.0);
+        establish_time_out(&mut s, 4, 4000.0);
         let (part, filled, _) = sends(&s.ask("q", &[0]))[0].clone();
         let served = Outcome::Served;
         let report =
@@ -903,13 +903,13 @@
         s.step(20_000.0, vec![]);
         (soon, count(&mut s, 20))
     };
-    assert_eq!(met(30.0).0, 0, "thirty parts wait there");
-    assert!(met(1e300).1 > 0, "an absurd report is believed for a while at most");
+    assert_eq!(met(30.0).0, 0, "thirty parts are queued there");
+    assert!(met(1e300).1 > 0, "the effect of an absurd report is limited in time");
     assert!(met(f64::NAN).1 > 0);
 }
 
 #[test]
-fn rule_one_that_carries_most_fills_a_cold_server_by_what_warm_ones_served() {
+fn rule_a_busy_aggregator_uses_a_cold_server_by_what_warm_ones_served() {
     // One of sixty aggregators carries nearly all: its even part would be one part in ten seconds.
     let set = Settings { aggregators: 60, cells: 1, reach: 1, ..ring() };
     let mut s = Stand::new(set, 0);
@@ -933,7 +933,7 @@
     let list = vec![Member { started, ..member("cold", 0) }];
     s.step(5.0, vec![Event::List { kind: ListKind::Changes, members: list }]);
     let (cold, all) = count(&mut s, 2, "cold");
-    assert!(cold >= 4, "{cold} of {all} parts went to the cold one");
+    assert!(cold >= 4, "{cold} of {all} parts were sent to the cold server");
     // The factor, 2, times the largest capacity by then, 0.36, times what one of three warm servers is sent.
     assert!((cold as f64) < 2.0 * 0.36 * all as f64 / 3.0, "{cold} of {all}");
 }
@@ -941,19 +941,19 @@
 // ---- queries that crash servers
 
 #[test]
-fn a_query_whose_attempts_break_connections_is_not_tried_further() {
+fn a_query_whose_attempts_break_connections_is_not_retried() {
     let mut s = Stand::new(ring(), 1);
     let sent = sends(&s.ask("bad", &[0, 1, 2, 3]));
     let broke = |n: usize| ended(&sent[n].0, 0, Outcome::ConnectionLost, 20.0);
     let first = s.step(20.0, vec![broke(0), broke(1)]);
-    assert!(sends(&first).is_empty(), "each further attempt may bring down one more server");
+    assert!(sends(&first).is_empty(), "each further attempt may crash another server");
     assert_eq!(finals(&first), vec![refused("bad")], "it ends at once");
     let cancelled = first.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
-    assert_eq!(cancelled, 2, "what still waits there is called off");
+    assert_eq!(cancelled, 2, "attempts still in flight are cancelled");
 }
 
 #[test]
-fn broken_connections_among_answers_are_tried_again() {
+fn broken_connections_among_answers_are_retried() {
     let mut s = Stand::new(ring(), 1);
     let sent = sends(&s.ask("good", &[0, 1, 2, 3, 4, 5]));
     let outcome = |n: usize| if n < 2 { Outcome::ConnectionLost } else { Outcome::Served };
@@ -962,7 +962,7 @@
 }
 
 #[test]
-fn a_server_that_fails_one_class_is_left_by_that_class_alone() {
+fn a_server_that_fails_one_class_is_avoided_by_that_class_alone() {
     let set = Settings { classes: vec![class(), class()], hedging: false, ..ring() };
     let mut s = Stand::new(set, 1);
     let sick = "c1n0";
@@ -986,10 +986,10 @@
 }
 
 #[test]
-fn a_query_is_refused_at_once_while_all_holders_of_a_shard_turn_parts_away() {
+fn a_query_is_refused_at_once_while_all_holders_of_a_shard_reject_parts() {
     let class = Class { late_worth: 0.0, ..class() };
     let mut s = Stand::new(Settings { classes: vec![class], cells: 1, reach: 1, ..ring() }, 2);
-    usual(&mut s, 10, 4000.0);
+    establish_time_out(&mut s, 10, 4000.0);
     // Each time both holders reject a part they are ejected for longer.
     let mut last = vec![];
     for k in 0..12 {
@@ -1003,12 +1003,12 @@
     }
     assert!(last.is_empty(), "its other parts would be lost work");
     s.step(6000.0, vec![]);
-    assert!(!sends(&s.ask("later", &[0])).is_empty(), "once one may be tried it is");
+    assert!(!sends(&s.ask("later", &[0])).is_empty(), "a holder is used once its ejection is over");
 }
 
 /// An ejected server gets no work, so that it looks idle: no query must be admitted because of that.
 #[test]
-fn a_query_is_refused_while_the_holders_that_it_would_go_to_are_filled() {
+fn a_query_is_refused_while_the_holders_that_it_would_use_are_full() {
     let mut s = Stand::new(Settings { cells: 1, reach: 1, hedging: false, ..ring() }, 3);
     let dead = "c0n0";
     for k in 0..12 {
@@ -1019,16 +1019,16 @@
     }
     let dead =
         |s: &Stand| s.a.views(s.now).iter().any(|v| v.ejected_until.is_some_and(|until| until > s.now));
-    assert!(dead(&s), "one is passed over");
+    assert!(dead(&s), "one server is ejected");
     let all: Vec<Vec<Action>> = (0..60).map(|k| s.ask(&format!("q{k}"), &[0])).collect();
-    assert!(dead(&s), "and still is");
+    assert!(dead(&s), "it is still ejected");
     let taken = all.iter().filter(|actions| !sends(actions).is_empty()).count();
-    assert!((10..50).contains(&taken), "{taken} of 60 were taken, though two servers answer none");
+    assert!((10..50).contains(&taken), "{taken} of 60 were admitted, though two servers answer none");
 }
 
 /// Over a long day each server is replaced many times under new names: no state may grow with them.
 #[test]
-fn servers_that_are_gone_are_forgotten_once_nothing_refers_to_them() {
+fn removed_servers_are_dropped_once_nothing_refers_to_them() {
     let mut s = Stand::new(Settings { cells: 1, reach: 1, ..ring() }, 0);
     let list = |names: &[&str]| {
         let members = names.iter().map(|name| member(name, 0)).collect();
@@ -1050,7 +1050,7 @@
 /// A server puts one report into many answers. A repeated report shows nothing new: its effect decays with
 /// time.
 #[test]
-fn a_load_report_that_is_repeated_grows_old() {
+fn a_repeated_load_report_decays() {
     let sent_to_a = |repeated: bool| {
         let mut s = Stand::new(Settings { cells: 1, reach: 1, batch: 1, ..ring() }, 0);
         s.step(
@@ -1083,7 +1083,7 @@
 /// Servers close single connections all day. One that continues to answer is not ejected for it, and a query
 /// that met two of those is retried.
 #[test]
-fn a_connection_lost_beside_answers_is_no_dead_server_and_no_poison() {
+fn a_connection_lost_beside_answers_marks_neither_server_nor_query() {
     let mut s = Stand::new(Settings { hedging: false, ..sets() }, 1);
     let mut attempts = std::collections::BTreeMap::new();
     for n in 0..40 {
