--- a/crates/brookbend/src/choice.rs
+++ b/crates/brookbend/src/choice.rs
@@ -75,7 +75,7 @@
 const CANCEL_LATE: f64 = 0.4;
 /// Budget where the settings have none: free attempts, share of accepted requests, window in shortest aims.
 const DEFAULT_FREE_ATTEMPTS: f64 = 6.0;
-const DEFAULT_EXTRA_SHARE: f64 = 0.3;
+const DEFAULT_SHARE: f64 = 0.3;
 const DEFAULT_WINDOW_AIMS: f64 = 1.5;
 
 /// Lowest and highest share, by worth, of a query's time that its forecast may take on arrival.
@@ -248,8 +248,7 @@
         if kind != ListKind::Disk {
             self.watch_wait = self.settings.list_deadline.min(self.settings.cold.warm_after) * WATCH_WAIT.0;
         }
-        let whole =
-            kind != ListKind::Changes || !self.fleet.has_rows(self.settings.cells, self.settings.reach);
+        let all = kind != ListKind::Changes || !self.fleet.has_rows(self.settings.cells, self.settings.reach);
         if kind != ListKind::Changes {
             self.fleet.servers.iter_mut().for_each(|s| s.state = NodeState::Gone);
         }
@@ -258,11 +257,11 @@
             let server = self.fleet.member(m.node.clone(), self.fleet_pace, self.fleet_rescaled);
             let was = self.fleet.cell(server);
             self.apply_member(server, m);
-            if !whole {
+            if !all {
                 self.fleet.moved(server, was, &mut concerned);
             }
         }
-        self.make_rows((!whole).then_some(concerned));
+        self.make_rows((!all).then_some(concerned));
     }
 
     fn apply_member(&mut self, server: usize, m: Member) {
@@ -342,12 +341,12 @@
         let width = (wanted.floor() as usize + usize::from(self.random.unit() < wanted.fract())).min(rows);
         let first = self.random.below(rows);
         let offset = self.random.below(width);
-        let mut turns: BTreeMap<usize, usize> = BTreeMap::new();
+        let mut positions: BTreeMap<usize, usize> = BTreeMap::new();
         for i in q.step_start..q.parts.len() {
-            let home = q.parts[i].shard % self.settings.cells.max(1);
-            let next = turns.len();
-            let turn = *turns.entry(home).or_insert(next);
-            let row = (first + width - 1 - (offset + turn) % width) % rows;
+            let first_cell = q.parts[i].shard % self.settings.cells.max(1);
+            let next = positions.len();
+            let position = *positions.entry(first_cell).or_insert(next);
+            let row = (first + width - 1 - (offset + position) % width) % rows;
             let holders = self.fleet.rows.of(q.parts[i].shard);
             q.parts[i].row_holder = (!holders.is_empty()).then(|| holders[row % holders.len()]);
         }
@@ -388,8 +387,8 @@
         let late = oldest.map_or(0.0, |(sent, expected)| self.now - sent - expected).max(0.0);
         let wait = late + (s.full_until - self.now).max(0.0);
         // A server silent for an aim has its zone's silence, so that a cut is not met at each server anew.
-        let unheard = s.zone.filter(|_| s.last_response_at < self.now - self.shortest_aim);
-        let zone = unheard.and_then(|z| self.fleet.silence.get(&z)).copied().unwrap_or(0.0);
+        let unresponsive = s.zone.filter(|_| s.last_response_at < self.now - self.shortest_aim);
+        let zone = unresponsive.and_then(|z| self.fleet.silence.get(&z)).copied().unwrap_or(0.0);
         let own = s.by_class.get(&class).map_or(0.0, |c| c.errors);
         let errors = s.errors.max(zone).max(own) * ERROR_AIM * self.shortest_aim;
         pace * (self.others(s) + s.work_in_flight + work) + wait + errors
@@ -420,13 +419,13 @@
     /// Chooses the row holder unless it is unfit or clearly behind, else the fit holder with the best
     /// forecast; a server called in this batch needs no new call. With no fit holder, the best of the others
     /// is used: the last one is never ejected. `None` if all are gone, or cold and at their limit.
-    fn choose(&self, q: &QueryState, i: usize, room: impl Fn(&Self, usize, Millis) -> bool) -> Option<usize> {
+    fn choose(&self, q: &QueryState, i: usize, fits: impl Fn(&Self, usize, Millis) -> bool) -> Option<usize> {
         let part = &q.parts[i];
         let work = self.work(q, i);
         let class = &self.settings.classes[q.class];
         let at_cold = self.learned[q.class].work.at_cold(work, class.aim);
-        let room = |s: &usize| room(self, *s, at_cold);
-        let fit = |s: &usize| self.is_available(*s) && room(s);
+        let fits = |s: &usize| fits(self, *s, at_cold);
+        let fit = |s: &usize| self.is_available(*s) && fits(s);
         let used = |s: &usize| part.attempts.iter().any(|t| t.server == *s);
         let holders = self.fleet.rows.of(part.shard);
         let fresh = holders.iter().any(|s| !used(s));
@@ -438,12 +437,12 @@
         };
         let best = |of: &mut dyn Iterator<Item = usize>| of.min_by(|a, b| score(*a).total_cmp(&score(*b)));
         let Some(best_fit) = best(&mut holders.iter().copied().filter(|s| open(s) && fit(s))) else {
-            return best(&mut holders.iter().copied().filter(|s| open(s) && room(s)));
+            return best(&mut holders.iter().copied().filter(|s| open(s) && fits(s)));
         };
         let margin = BEHIND_AIM * self.settings.classes[q.class].aim;
         // Parts already in this batch share the call: a row holder is not behind because of them.
-        let own = |s: usize| self.fleet.servers[s].pace.told() * self.fleet.servers[s].batch_work;
-        let keeps = |s: &usize| open(s) && fit(s) && score(*s) - own(*s) <= score(best_fit) + margin;
+        let batched = |s: usize| self.fleet.servers[s].pace.told() * self.fleet.servers[s].batch_work;
+        let keeps = |s: &usize| open(s) && fit(s) && score(*s) - batched(*s) <= score(best_fit) + margin;
         part.row_holder.filter(|s| holders.contains(s) && keeps(s)).or(Some(best_fit))
     }
 
@@ -472,15 +471,14 @@
         let (work, aim) = (self.work(q, i), self.settings.classes[q.class].aim);
         let usual = self.fleet_pace * (work + self.settings.call_work);
         let soon = |s: usize| {
-            let heard = self.fleet.servers[s].last_response_at > self.now - aim;
-            let times = if heard { OMIT_USUAL.0 } else { OMIT_USUAL.1 };
+            let responsive = self.fleet.servers[s].last_response_at > self.now - aim;
+            let times = if responsive { OMIT_USUAL.0 } else { OMIT_USUAL.1 };
             self.eligible(s, work) && self.forecast(s, q.class, work) <= (OMIT_AIM * aim).max(times * usual)
         };
         !self.fleet.rows.of(q.parts[i].shard).iter().copied().any(soon)
     }
 
-    /// Sends a part's first attempt, a retry or a hedge. False if only first attempts may follow in this
-    /// turn.
+    /// Sends a part's first attempt, a retry or a hedge. False if only first attempts may follow this turn.
     pub(crate) fn run_part(&mut self, q: &mut QueryState, i: usize) -> bool {
         let part = &q.parts[i];
         if part.served || part.attempts_used() >= q.max_attempts {
@@ -590,12 +588,8 @@
     /// Whether the rule's exact sliding window, or the default budget, has room for an attempt beyond a
     /// first: retries and hedges must not feed an overload.
     fn budget_left(&mut self) -> bool {
-        let span = DEFAULT_WINDOW_AIMS * self.shortest_aim;
-        let own = AttemptBudget {
-            free_attempts: DEFAULT_FREE_ATTEMPTS,
-            per_request: DEFAULT_EXTRA_SHARE,
-            window: span,
-        };
+        let window = DEFAULT_WINDOW_AIMS * self.shortest_aim;
+        let own = AttemptBudget { free_attempts: DEFAULT_FREE_ATTEMPTS, per_request: DEFAULT_SHARE, window };
         let rule = self.settings.budget.unwrap_or(own);
         let from = self.now - rule.window;
         // The window's ends are chosen so that neither reading of the rule is exceeded.
@@ -624,10 +618,10 @@
         let (class, scale, queued) = (q.class, self.learned[q.class].work.scale(), others + s.work_in_flight);
         let (sent, busy) = (self.now, self.overhead.busy);
         let connected = None;
-        let flight =
+        let entry =
             InFlight { server, class, work, queued, scale, sent, busy, connected, forecast, expected };
         let part = &mut q.parts[i];
-        self.desk.flights.insert((part.id.clone(), part.attempts.len() as u32), flight);
+        self.desk.flights.insert((part.id.clone(), part.attempts.len() as u32), entry);
         part.attempts.push(Attempt { server, sent: self.now, expected, outcome: None, took: 0.0 });
         let node = self.fleet.servers[server].node.clone();
         self.actions.push(Action::Send { part: part.id.clone(), node, timeout });
@@ -681,15 +675,15 @@
         // After the aim, waiting is worth less where the rest cannot come or earns less by then; before it,
         // each part that may still come adds to the share.
         let enough = aim_over && (!can_be_whole || partial_worth >= class.late_worth);
-        let waits = self.now < q.first_asked_at + OMIT_WAIT_SHARE * class.aim;
-        let coming = sum(&|p| p.served || ((waits || !p.omitted) && self.may_be_served(q, p, suspect)));
+        let waiting = self.now < q.first_asked_at + OMIT_WAIT_SHARE * class.aim;
+        let coming = sum(&|p| p.served || ((waiting || !p.omitted) && self.may_be_served(q, p, suspect)));
         if floor && (second_at >= q.deadline || enough || coming <= have + TOLERANCE) {
             return self.answer(id, q, false);
         }
         // Between a first answer and the parts of the second step no part can be lost yet.
         let hopeless = !(second && step.is_empty()) && possible + TOLERANCE < class.floor.min(class.need);
-        let poison = suspect && have == 0.0;
-        if over || hopeless || poison || self.now >= self.useful_end(q) {
+        let crashing = suspect && have == 0.0;
+        if over || hopeless || crashing || self.now >= self.useful_end(q) {
             return self.end_unserved(id, q);
         }
         false
@@ -777,8 +771,8 @@
                 of.map(|s| self.forecast_at(rescaled(s), s, q.class, work)).reduce(f64::min)
             };
             // An ejected server will not be chosen, however idle its ejection makes it look.
-            let sound = least(&mut holders.iter().copied().filter(|s| self.is_available(*s)));
-            let best = sound.or_else(|| least(&mut holders.iter().copied())).unwrap_or(f64::INFINITY);
+            let available = least(&mut holders.iter().copied().filter(|s| self.is_available(*s)));
+            let best = available.or_else(|| least(&mut holders.iter().copied())).unwrap_or(f64::INFINITY);
             if may_leave {
                 q.lift(i);
                 q.parts[i].omitted = self.should_omit(q, i);
@@ -800,10 +794,10 @@
         (q.forecast, q.overhead) = (forecast, overhead);
         // A possible partial answer justifies more risk, a late one only more lag; neither does where the
         // client leaves before the aim, since its retries would fill the fleet with lost work.
-        let stays = f64::from(q.deadline > q.first_asked_at + class.aim);
-        let may = if class.floor < class.need { stays } else { 0.0 };
-        let partial = may * class.partial_earns * class.floor / class.need.max(TOLERANCE);
-        let fallback = partial.max(stays * class.late_worth);
+        let client_stays = f64::from(q.deadline > q.first_asked_at + class.aim);
+        let partial_allowed = if class.floor < class.need { client_stays } else { 0.0 };
+        let partial = partial_allowed * class.partial_earns * class.floor / class.need.max(TOLERANCE);
+        let fallback = partial.max(client_stays * class.late_worth);
         let limit = limit + (1.0 - limit) * partial;
         let left = (q.first_asked_at + class.aim).min(q.deadline) - self.now - self.second_step_time(q);
         // Past its aim a query is refused, since it would earn the late worth at most.
@@ -859,20 +853,20 @@
         // attempt was cancelled. The forecast grows with load, so that load alone does not count.
         let overdue = !self.desk.stood && elapsed > (OVERDUE_FACTOR * f.expected).max(OVERDUE_AIM * aim);
         let silent = overdue && f.sent > s.last_served_sent;
-        let quiet = outcome == Outcome::Cancelled && silent
+        let no_answer = outcome == Outcome::Cancelled && silent
             || matches!(outcome, Outcome::TimedOut | Outcome::NoConnection | Outcome::ConnectionLost);
-        if let Some(zone) = s.zone.filter(|_| !self.desk.stood && (quiet || outcome == Outcome::Served)) {
+        if let Some(zone) = s.zone.filter(|_| !self.desk.stood && (no_answer || outcome == Outcome::Served)) {
             let share = self.fleet.silence.entry(zone).or_default();
-            *share += ZONE_SMOOTHING * (f64::from(u8::from(quiet)) - *share);
+            *share += ZONE_SMOOTHING * (f64::from(u8::from(no_answer)) - *share);
         }
         // A server may fail one class and answer the others, which hides it: each class has its own record.
-        let own = s.by_class.entry(f.class).or_default();
-        let lost = overdue && f.sent > own.last_served_sent && outcome != Outcome::Served;
+        let record = s.by_class.entry(f.class).or_default();
+        let lost = overdue && f.sent > record.last_served_sent && outcome != Outcome::Served;
         if lost || outcome == Outcome::Error {
-            own.errors += SLOW_SMOOTHING * (1.0 - own.errors);
+            record.errors += SLOW_SMOOTHING * (1.0 - record.errors);
         } else if outcome == Outcome::Served {
-            own.errors *= 1.0 - SLOW_SMOOTHING;
-            own.last_served_sent = own.last_served_sent.max(f.sent);
+            record.errors *= 1.0 - SLOW_SMOOTHING;
+            record.last_served_sent = record.last_served_sent.max(f.sent);
         }
         let width = &mut self.learned[f.class].width;
         match outcome {
@@ -961,20 +955,20 @@
             return true;
         }
         let capacity = rule.initial_capacity + (1.0 - rule.initial_capacity) * age;
-        let most = COLD_SAFE * rule.overload_factor * capacity * rule.overload_time;
-        let (part, served) = (1.0 / self.settings.aggregators.max(1) as f64, self.desk.served_rate);
-        let share = served.max((part + served) / 2.0);
-        let even = most * share;
+        let limit = COLD_SAFE * rule.overload_factor * capacity * rule.overload_time;
+        let (even_share, served) = (1.0 / self.settings.aggregators.max(1) as f64, self.desk.served_rate);
+        let share = served.max((even_share + served) / 2.0);
+        let even = limit * share;
         let from = self.now - rule.overload_time;
         let sent: Millis = s.cold_sends.iter().filter(|(t, _)| *t >= from).map(|(_, w)| w).sum();
         // An even part below one part's work is a chance to send, drawn anew each second. It is lost where no
         // part uses it, so it grows as parts get rare: over all aggregators, demand times chance adds up to
         // the intended sends.
-        let held = (!self.warm_beside(s)).then(|| self.settings.max_wait() / SECOND);
-        let demand = self.desk.demand.of_one(s.cell, self.settings.reach, held);
-        let turns = turns_within(most / (COLD_SAFE * work.max(1.0)), COLD_SCATTER) / COLD_SURGE;
-        let turn = turns * share * SECOND / (rule.overload_time * demand);
-        sent + work <= even || (sent == 0.0 && s.cold_draw < turn)
+        let max_wait = (!self.warm_beside(s)).then(|| self.settings.max_wait() / SECOND);
+        let demand = self.desk.demand.of_one(s.cell, self.settings.reach, max_wait);
+        let sends = turns_within(limit / (COLD_SAFE * work.max(1.0)), COLD_SCATTER) / COLD_SURGE;
+        let chance = sends * share * SECOND / (rule.overload_time * demand);
+        sent + work <= even || (sent == 0.0 && s.cold_draw < chance)
     }
 
     /// Whether a warm, available server holds the same shards as this one.
@@ -991,17 +985,17 @@
         for i in 0..self.learned.len() {
             self.adjust_width(i);
         }
-        let heard = self.fleet.servers.iter().filter(|s| s.last_response_at > self.now - 4.0 * SECOND);
-        let median = estimates::median(heard.map(|s| &s.pace));
+        let responsive = self.fleet.servers.iter().filter(|s| s.last_response_at > self.now - 4.0 * SECOND);
+        let median = estimates::median(responsive.map(|s| &s.pace));
         // Without responses, as when all is refused after a slow period, estimates must fade.
-        let unheard = if median.is_none() { FADE } else { 0.0 };
-        self.learned.iter_mut().for_each(|l| l.work.fade(unheard));
+        let fade = if median.is_none() { FADE } else { 0.0 };
+        self.learned.iter_mut().for_each(|l| l.work.fade(fade));
         let faded = |pace: f64| pace + FADE * (INITIAL_PACE - pace);
         let faded = (faded(self.fleet_pace), faded(self.fleet_rescaled));
         (self.fleet_pace, self.fleet_rescaled) = median.unwrap_or(faded);
         let cold = |s: &&Server| s.cold_since.is_some() && self.warm_beside(s);
-        let wished: Vec<bool> = self.fleet.servers.iter().filter(cold).map(|s| s.wanted).collect();
-        self.desk.demand.second(SMOOTHING, &wished);
+        let wanted: Vec<bool> = self.fleet.servers.iter().filter(cold).map(|s| s.wanted).collect();
+        self.desk.demand.second(SMOOTHING, &wanted);
         for s in &mut self.fleet.servers {
             if s.last_response_at < self.now - SECOND {
                 s.pace.approach(self.fleet_pace, self.fleet_rescaled, FADE);
--- a/crates/brookbend/src/estimates/work.rs
+++ b/crates/brookbend/src/estimates/work.rs
@@ -7,7 +7,7 @@
 const STEP: f64 = 0.05;
 /// Work of a part before any answer, in multiples of a call's fixed work.
 const FIRST: f64 = 2.0;
-/// So many first answers are not first_answered_at by: the shortest of them is the work, as near its quantile as so few tell.
+/// So many first answers are not stepped by: the shortest of them is the work, as near its quantile as so few tell.
 const FEW: u32 = 8;
 /// Before any answer a cold server is taken to need this share of the aim for a part: a call may cost far less than the
 /// part it carries, and where all aggregators start at once all would take the one for the other.
