--- a/crates/brookbend/src/bin/brookbend-adapter.rs
+++ b/crates/brookbend/src/bin/brookbend-adapter.rs
@@ -20,13 +20,13 @@
             "in_service" => NodeState::Serving,
             "terminating" => NodeState::Draining,
             "terminated" => NodeState::Gone,
-            _ => return e.bad("Mode", "is unknown"),
+            _ => return e.invalid("Mode", "is unknown"),
         };
         members.push(Member {
             node: NodeId(e.text("Node")?.into()),
-            cell: e.opt_whole("Position")?.unwrap_or(0) as usize,
+            cell: e.opt_integer("Position")?.unwrap_or(0) as usize,
             state,
-            zone: e.opt_whole("Dc")?.map(|z| z as usize),
+            zone: e.opt_integer("Dc")?.map(|z| z as usize),
             started: e.opt_number("StartTime")?.filter(|t| *t > 0.0),
         });
     }
@@ -34,18 +34,18 @@
 }
 
 fn order(m: &JsonObject, classes: usize) -> Result<Event, String> {
-    let class = m.whole("Service")? as usize;
+    let class = m.integer("Service")? as usize;
     if class >= classes {
-        return m.bad("Service", "names no class");
+        return m.invalid("Service", "names no class");
     }
     let shard = m.number("Slice")?;
-    let group = m.whole("GroupNo")?;
+    let group = m.integer("GroupNo")?;
     if shard < 0.0 {
         return Ok(Event::Query(Query {
             id: request(m)?,
             group,
             class: ClassIndex(class),
-            tenant: TenantIndex(m.opt_whole("Team")?.unwrap_or(0) as usize),
+            tenant: TenantIndex(m.opt_integer("Team")?.unwrap_or(0) as usize),
             deadline: m.number("GiveUpAt")?,
             client_deadline: m.number("GiveUpAt")?,
             max_attempts: None,
@@ -55,7 +55,7 @@
     Ok(Event::Part(Part {
         id: request(m)?,
         group,
-        shard: m.whole("Slice")? as usize,
+        shard: m.integer("Slice")? as usize,
         weight: m.number("Measure")?,
         work_hint: m.opt_number("Effort")?,
     }))
@@ -77,7 +77,7 @@
         "connection_lost" => Outcome::ConnectionLost,
         "called_off" => Outcome::Cancelled,
         "not_sent" => Outcome::NotSent,
-        _ => return m.bad("Rc", "is unknown"),
+        _ => return m.invalid("Rc", "is unknown"),
     })
 }
 
@@ -119,20 +119,20 @@
 impl Adapter {
     fn hear(&mut self, m: &JsonObject) -> Result<(), String> {
         if m.name() == "Ledger" {
-            self.lists.insert(m.whole("Slot")?, members(m)?);
+            self.lists.insert(m.integer("Slot")?, members(m)?);
             return Ok(());
         }
-        let number = m.whole("I")?;
+        let number = m.integer("I")?;
         if m.name() == "Launch" {
             let settings = settings::decode(&m.inner("Env")?)?.settings;
             let classes = settings.classes.len();
-            let aggregator = Aggregator::new(settings, m.whole("RngSeed")?);
+            let aggregator = Aggregator::new(settings, m.integer("RngSeed")?);
             self.instances.insert(number, Instance { aggregator, classes });
             self.inbox.insert(number, Vec::new());
             return Ok(());
         }
         let Some(instance) = self.instances.get(&number) else {
-            return m.bad("I", "names an instance that was never launched");
+            return m.invalid("I", "names an instance that was never launched");
         };
         let event = match m.name() {
             "Destroy" => {
@@ -146,13 +146,13 @@
                     "snapshot" => ListKind::Complete,
                     "disk" => ListKind::Disk,
                     "error" => ListKind::Error,
-                    _ => return m.bad("Mode", "is unknown"),
+                    _ => return m.invalid("Mode", "is unknown"),
                 };
                 let members = match kind {
                     ListKind::Error => Vec::new(),
-                    _ => match self.lists.get(&m.whole("Slot")?) {
+                    _ => match self.lists.get(&m.integer("Slot")?) {
                         Some(members) => members.clone(),
-                        None => return m.bad("Slot", "names a list that was never declared"),
+                        None => return m.invalid("Slot", "names a list that was never declared"),
                     },
                 };
                 Some(Event::List { kind, members })
@@ -160,13 +160,13 @@
             "Order" => Some(order(m, instance.classes)?),
             "ReportBack" => Some(Event::Ended {
                 part: request(m)?,
-                attempt: m.whole("Hop")? as u32,
+                attempt: m.integer("Hop")? as u32,
                 outcome: outcome(m)?,
                 elapsed: m.number("Rtt")?,
                 load: held(m),
             }),
             "Dropped" => Some(Event::ClientGone(request(m)?)),
-            "DeadlineHit" => m.whole("Ref").map(|_| Some(Event::Woken))?,
+            "DeadlineHit" => m.integer("Ref").map(|_| Some(Event::Woken))?,
             // Not asked for, but part of the wire.
             "Begun" | "Probed" | "Memo" => None,
             _ => return Err(format!("{}: the message is unknown", m.name())),
@@ -209,7 +209,7 @@
         let m = JsonObject::new(name, fields);
         match name {
             "Tick" => {
-                last = json!(m.whole("n").map_err(|e| format!("{}: {e}", place(&last)))?);
+                last = json!(m.integer("n").map_err(|e| format!("{}: {e}", place(&last)))?);
                 let now = m.number("Moment").map_err(|e| format!("{}: {e}", place(&last)))?;
                 if open.replace((now, last.clone())).is_some() {
                     return Err(format!("{}: Tick: the batch before is still open", place(&last)));
--- a/crates/brookbend/src/choice.rs
+++ b/crates/brookbend/src/choice.rs
@@ -765,14 +765,15 @@
             let work = self.work(q, i);
             total += work;
             let holders = self.fleet.rows.of(q.parts[i].shard);
-            let least = |of: &mut dyn Iterator<Item = usize>| {
+            let min_forecast = |of: &mut dyn Iterator<Item = usize>| {
                 // Rescaled paces are used, since they count no time twice.
                 let rescaled = |s: usize| self.fleet.servers[s].pace.rescaled();
                 of.map(|s| self.forecast_at(rescaled(s), s, q.class, work)).reduce(f64::min)
             };
             // An ejected server will not be chosen, however idle its ejection makes it look.
-            let available = least(&mut holders.iter().copied().filter(|s| self.is_available(*s)));
-            let best = available.or_else(|| least(&mut holders.iter().copied())).unwrap_or(f64::INFINITY);
+            let available = min_forecast(&mut holders.iter().copied().filter(|s| self.is_available(*s)));
+            let best =
+                available.or_else(|| min_forecast(&mut holders.iter().copied())).unwrap_or(f64::INFINITY);
             if may_leave {
                 q.lift(i);
                 q.parts[i].omitted = self.should_omit(q, i);
@@ -846,7 +847,7 @@
         let elapsed = if elapsed.is_finite() { elapsed.max(0.0) } else { self.now - f.sent };
         let aim = self.shortest_aim;
         let jitter = 0.75 + 0.5 * self.random.unit();
-        let (least, likely) = (self.least_time(f, elapsed), self.likely_time(f, elapsed));
+        let (min_time, likely) = (self.min_time(f, elapsed), self.likely_time(f, elapsed));
         let s = &mut self.fleet.servers[f.server];
         s.remove_in_flight(f);
         // Long overdue and nothing sent later was answered: a failure, even if a hedge was quicker and this
@@ -921,7 +922,7 @@
                     return;
                 }
                 // It would have taken longer still: else a server full of such work looks fast.
-                let pace = (least / f.queued.max(1.0)).min(MAX_TIMEOUT_PACE * self.fleet_pace);
+                let pace = (min_time / f.queued.max(1.0)).min(MAX_TIMEOUT_PACE * self.fleet_pace);
                 s.pace.observe_at_least(pace, SMOOTHING);
                 s.last_response_at = self.now;
             }
--- a/crates/brookbend/src/overhead.rs
+++ b/crates/brookbend/src/overhead.rs
@@ -33,14 +33,14 @@
     /// Returns the least time that the server of an attempt can have taken. While this aggregator was busy,
     /// the answer may have waited; that counts as the aggregator's own time, up to the overhead forecast for
     /// the attempt.
-    pub(crate) fn least_time(&self, flight: &InFlight, elapsed: Millis) -> Millis {
+    pub(crate) fn min_time(&self, flight: &InFlight, elapsed: Millis) -> Millis {
         let overhead = flight.expected - flight.forecast;
         (elapsed - (self.overhead.busy - flight.busy).min(overhead).max(0.0)).max(0.0)
     }
 
     /// Returns the likely time that the server of an attempt took: the forecast, within the possible range.
     pub(crate) fn likely_time(&self, flight: &InFlight, elapsed: Millis) -> Millis {
-        flight.forecast.max(self.least_time(flight, elapsed)).min(elapsed)
+        flight.forecast.max(self.min_time(flight, elapsed)).min(elapsed)
     }
 
     /// Returns the time that this aggregator itself needs for a query of the given number of parts, after the
--- a/crates/brookbend/src/settings.rs
+++ b/crates/brookbend/src/settings.rs
@@ -40,7 +40,7 @@
         self.name
     }
     /// Returns an error that names this object and the field.
-    pub fn bad<T>(&self, field: &str, what: &str) -> Result<T, String> {
+    pub fn invalid<T>(&self, field: &str, what: &str) -> Result<T, String> {
         Err(format!("{}: field {field} {what}", self.name))
     }
     /// Returns a field; `None` if it is absent or null.
@@ -53,7 +53,7 @@
             None => Ok(None),
             Some(v) => match v.as_f64() {
                 Some(n) => Ok(Some(n)),
-                None => self.bad(field, "is not a number"),
+                None => self.invalid(field, "is not a number"),
             },
         }
     }
@@ -61,33 +61,33 @@
     pub fn number(&self, field: &str) -> Result<f64, String> {
         match self.opt_number(field)? {
             Some(n) => Ok(n),
-            None => self.bad(field, "is missing"),
+            None => self.invalid(field, "is missing"),
         }
     }
     /// Returns an optional integer that is not negative.
-    pub fn opt_whole(&self, field: &str) -> Result<Option<u64>, String> {
+    pub fn opt_integer(&self, field: &str) -> Result<Option<u64>, String> {
         match self.get(field) {
             None => Ok(None),
-            Some(v) => match v.as_u64().or_else(|| whole(v.as_f64())) {
+            Some(v) => match v.as_u64().or_else(|| integer_of(v.as_f64())) {
                 Some(n) => Ok(Some(n)),
-                None => self.bad(field, "is not a whole number"),
+                None => self.invalid(field, "is not a whole number"),
             },
         }
     }
     /// Returns a required integer that is not negative.
-    pub fn whole(&self, field: &str) -> Result<u64, String> {
-        match self.opt_whole(field)? {
+    pub fn integer(&self, field: &str) -> Result<u64, String> {
+        match self.opt_integer(field)? {
             Some(n) => Ok(n),
-            None => self.bad(field, "is missing"),
+            None => self.invalid(field, "is missing"),
         }
     }
     /// Returns a required string.
     pub fn text(&self, field: &str) -> Result<&str, String> {
         match self.get(field) {
-            None => self.bad(field, "is missing"),
+            None => self.invalid(field, "is missing"),
             Some(v) => match v.as_str() {
                 Some(s) => Ok(s),
-                None => self.bad(field, "is not a string"),
+                None => self.invalid(field, "is not a string"),
             },
         }
     }
@@ -97,17 +97,17 @@
             None => Ok(false),
             Some(v) => match v.as_bool() {
                 Some(b) => Ok(b),
-                None => self.bad(field, "is not true or false"),
+                None => self.invalid(field, "is not true or false"),
             },
         }
     }
     /// Returns a required list.
     pub fn list(&self, field: &str) -> Result<&Vec<Value>, String> {
         match self.get(field) {
-            None => self.bad(field, "is missing"),
+            None => self.invalid(field, "is missing"),
             Some(v) => match v.as_array() {
                 Some(a) => Ok(a),
-                None => self.bad(field, "is not a list"),
+                None => self.invalid(field, "is not a list"),
             },
         }
     }
@@ -115,15 +115,19 @@
     pub fn numbers(&self, field: &str) -> Result<Vec<f64>, String> {
         let list = self.list(field)?;
         let numbers: Vec<f64> = list.iter().filter_map(Value::as_f64).collect();
-        if numbers.len() == list.len() { Ok(numbers) } else { self.bad(field, "is not a list of numbers") }
+        if numbers.len() == list.len() {
+            Ok(numbers)
+        } else {
+            self.invalid(field, "is not a list of numbers")
+        }
     }
     /// Returns a required object inside this one.
     pub fn inner<'b>(&'b self, field: &'b str) -> Result<JsonObject<'b>, String> {
         match self.get(field) {
-            None => self.bad(field, "is missing"),
+            None => self.invalid(field, "is missing"),
             Some(v) => match v.as_object() {
                 Some(fields) => Ok(JsonObject { name: field, fields }),
-                None => self.bad(field, "is not an object"),
+                None => self.invalid(field, "is not an object"),
             },
         }
     }
@@ -133,21 +137,21 @@
         for v in self.list(field)? {
             match v.as_object() {
                 Some(fields) => objects.push(JsonObject { name: field, fields }),
-                None => return self.bad(field, "holds something that is not an object"),
+                None => return self.invalid(field, "holds something that is not an object"),
             }
         }
         Ok(objects)
     }
 }
 
-fn whole(n: Option<f64>) -> Option<u64> {
+fn integer_of(n: Option<f64>) -> Option<u64> {
     n.filter(|n| n.fract() == 0.0 && *n >= 0.0 && *n < 9.3e18).map(|n| n as u64)
 }
 
-fn nth(list: &[f64], index: usize, m: &JsonObject, field: &str) -> Result<f64, String> {
+fn nth_number(list: &[f64], index: usize, m: &JsonObject, field: &str) -> Result<f64, String> {
     match list.get(index) {
         Some(n) => Ok(*n),
-        None => m.bad(field, "has too few entries"),
+        None => m.invalid(field, "has too few entries"),
     }
 }
 
@@ -162,7 +166,7 @@
             "repeatable" => Semantics::Safe,
             "by_key" => Semantics::Keyed { window: c.number("MemorySpan")? },
             "once" => Semantics::Unsafe,
-            _ => return c.bad("Semantics", "is unknown"),
+            _ => return c.invalid("Semantics", "is unknown"),
         };
         classes.push(Class {
             aim: c.number("Aim")?,
@@ -170,10 +174,10 @@
             worth: c.number("Gain")?,
             late_worth: c.number("LateWorth")?,
             semantics,
-            need: nth(&need, i, family, "ClassNeed")?,
-            floor: nth(&floor, i, family, "MinShare")?,
-            partial_earns: nth(&earns, i, family, "PartialEarns")?,
-            second_step: nth(&fetch, i, family, "FetchParts")? > 0.0,
+            need: nth_number(&need, i, family, "ClassNeed")?,
+            floor: nth_number(&floor, i, family, "MinShare")?,
+            partial_earns: nth_number(&earns, i, family, "PartialEarns")?,
+            second_step: nth_number(&fetch, i, family, "FetchParts")? > 0.0,
         });
     }
     Ok(classes)
@@ -202,30 +206,30 @@
             per_request: per_request.unwrap_or(0.0),
             window: span,
         }),
-        _ => return rules.bad("RatioSpan", "is missing"),
+        _ => return rules.invalid("RatioSpan", "is missing"),
     };
     let list = match env.text("MembershipMode")? {
         "pushed" => ListSource::Pushed,
         "on_request" => ListSource::OnRequest,
-        _ => return env.bad("MembershipMode", "is unknown"),
+        _ => return env.invalid("MembershipMode", "is unknown"),
     };
-    let decided = Settings {
+    let settings = Settings {
         classes: classes(env, &family)?,
         tenants,
-        aggregators: env.whole("PeersTotal")? as usize,
-        zone: env.opt_whole("Locality")?.map(|z| z as usize),
+        aggregators: env.integer("PeersTotal")? as usize,
+        zone: env.opt_integer("Locality")?.map(|z| z as usize),
         over_share_worth: env.opt_number("OverShareWorth")?.unwrap_or(1.0),
         worth_by_work: env.get("WorthBy").and_then(Value::as_str) == Some("work"),
         clients_mark_retries: match env.get("Clients") {
             Some(_) => env.inner("Clients")?.flag("MarksRetry")?,
             None => false,
         },
-        cells: family.whole("Positions")? as usize,
-        reach: family.whole("Width")? as usize,
-        shards: family.whole("Shards")? as usize,
-        batch: family.whole("Batch")? as usize,
+        cells: family.integer("Positions")? as usize,
+        reach: family.integer("Width")? as usize,
+        shards: family.integer("Shards")? as usize,
+        batch: family.integer("Batch")? as usize,
         call_work: family.number("Call")?,
-        max_attempts: allowed.whole("SendCap")? as u32,
+        max_attempts: allowed.integer("SendCap")? as u32,
         hedging: allowed.flag("SecondCopies")?,
         cancel: allowed.flag("Cancel")?,
         max_retry_after: if allowed.flag("RetryAfter")? {
@@ -252,11 +256,11 @@
             Some(_) => env.list("Zones")?.iter().map(|z| z.as_str().unwrap_or_default().to_owned()).collect(),
             None => Vec::new(),
         },
-        max_open: allowed.opt_whole("MaxOpen")?,
-        multiplex: allowed.opt_whole("Multiplex")?,
+        max_open: allowed.opt_integer("MaxOpen")?,
+        multiplex: allowed.opt_integer("Multiplex")?,
         dial_timeout: allowed.opt_number("DialTimeout")?,
         keepalive: allowed.opt_number("Keepalive")?,
-        settings: decided,
+        settings,
     })
 }
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -203,15 +203,16 @@
             .map_err(|_| format!("{variable} (field {field}): {text:?} is not an address with a port"))
     };
     let seed = m.text("seed")?;
-    let seed = u64::from_str_radix(seed, 16).or_else(|_| m.bad("seed", "is not 16 hex digits"))?;
+    let seed = u64::from_str_radix(seed, 16).or_else(|_| m.invalid("seed", "is not 16 hex digits"))?;
     let env_of = |key: &str| env(key);
     let env = m.inner("settings")?;
     let site = settings::decode(&env)?;
     if site.class_names.is_empty() || site.class_names.iter().any(String::is_empty) {
-        return env.bad("Services", "is empty or holds a class without a name");
+        return env.invalid("Services", "is empty or holds a class without a name");
     }
     if site.settings.classes.iter().any(|c| c.second_step) {
-        return env.bad("FamilyInfo", "asks for a second step (FetchParts), which the protocol cannot carry");
+        return env
+            .invalid("FamilyInfo", "asks for a second step (FetchParts), which the protocol cannot carry");
     }
     for (field, figure) in [
         ("Positions", site.settings.cells),
@@ -220,24 +221,24 @@
         ("Batch", site.settings.batch),
     ] {
         if !(1..=1_000_000).contains(&figure) {
-            return env.inner("FamilyInfo")?.bad(field, "is out of bounds");
+            return env.inner("FamilyInfo")?.invalid(field, "is out of bounds");
         }
     }
     if !(site.settings.tick > 0.0 && site.settings.tick <= 1000.0) {
-        return env.bad("Tick", "is out of bounds");
+        return env.invalid("Tick", "is out of bounds");
     }
     let sockets = match m.get("limits") {
-        Some(_) => m.inner("limits")?.opt_whole("sockets")?.unwrap_or(SOCKETS),
+        Some(_) => m.inner("limits")?.opt_integer("sockets")?.unwrap_or(SOCKETS),
         None => SOCKETS,
     };
     let memory_mb = match m.get("limits") {
-        Some(_) => m.inner("limits")?.opt_whole("memory_mb")?,
+        Some(_) => m.inner("limits")?.opt_integer("memory_mb")?,
         None => None,
     };
     // Descriptors alone would let half-sent requests fill a small machine's memory.
     let memory = memory_mb.map(|mb| mb.saturating_mul(1 << 20) / CLIENT_MEMORY.1 * CLIENT_MEMORY.0);
     if memory.is_some_and(|bytes| bytes < CLIENT_HOLDS) {
-        return m.inner("limits")?.bad("memory_mb", "is too small to serve with");
+        return m.inner("limits")?.invalid("memory_mb", "is too small to serve with");
     }
     let ops = match (env_of("RELAY_OPS"), m.get("ops")) {
         (None, None) => None,
@@ -252,13 +253,13 @@
     let own = Own { door: ops.is_some(), hand_over: hand_over.is_some(), foreign: 0 };
     if sockets > MOST_SOCKETS {
         let why = format!("({sockets}) is more than a process can ever hold: {MOST_SOCKETS} at the most");
-        return m.inner("limits")?.bad("sockets", &why);
+        return m.inner("limits")?.invalid("sockets", &why);
     }
     let shared = match own.divide(sockets) {
         Ok(shared) => shared,
         Err(least) => {
             let why = format!("({sockets}) is too small to serve with: {least} are needed");
-            return m.inner("limits")?.bad("sockets", &why);
+            return m.inner("limits")?.invalid("sockets", &why);
         }
     };
     bounds(&env, &site)?;
@@ -335,8 +336,9 @@
     let time = |ms: f64| ms > 0.0 && ms <= LONGEST_MS;
     let share = |s: f64| (0.0..=1.0).contains(&s);
     for (class, name) in site.settings.classes.iter().zip(&site.class_names) {
-        let bad =
-            |field: &str| m.bad("Services", &format!("holds class {name:?}, whose {field} is out of bounds"));
+        let bad = |field: &str| {
+            m.invalid("Services", &format!("holds class {name:?}, whose {field} is out of bounds"))
+        };
         if !time(class.give_up) {
             return bad("GiveUp");
         }
@@ -352,71 +354,74 @@
         // Whole with nothing in, or whole with less than an answer may be given from: neither can be kept to.
         let needs = class.need > 0.0 && class.floor <= class.need;
         if !(share(class.need) && share(class.floor) && needs && (0.0..=1e3).contains(&class.partial_earns)) {
-            return m.inner("FamilyInfo")?.bad("ClassNeed", "or MinShare or PartialEarns is out of bounds");
+            return m
+                .inner("FamilyInfo")?
+                .invalid("ClassNeed", "or MinShare or PartialEarns is out of bounds");
         }
     }
     for class in m.objects("Services")? {
         let keyed = class.get("Semantics").is_some_and(|s| s == "by_key");
         if keyed && class.get("DedupScope").is_some_and(|scope| scope != "all") {
-            return class.bad("DedupScope", "is not \"all\": the holders of a shard would not drop a repeat");
+            return class
+                .invalid("DedupScope", "is not \"all\": the holders of a shard would not drop a repeat");
         }
     }
     if !(0.0..=LONGEST_MS).contains(&site.settings.call_work) {
-        return m.inner("FamilyInfo")?.bad("Call", "is out of bounds");
+        return m.inner("FamilyInfo")?.invalid("Call", "is out of bounds");
     }
     if !(1..=MOST_BROKERS).contains(&site.settings.aggregators) {
-        return m.bad("PeersTotal", "is out of bounds");
+        return m.invalid("PeersTotal", "is out of bounds");
     }
     if !share(site.settings.over_share_worth) {
-        return m.bad("OverShareWorth", "is out of bounds");
+        return m.invalid("OverShareWorth", "is out of bounds");
     }
     if m.get("WorthBy").is_some_and(|by| by != "work" && by != "request") {
-        return m.bad("WorthBy", "is unknown");
+        return m.invalid("WorthBy", "is unknown");
     }
     if site.tenant_names.iter().any(String::is_empty) {
-        return m.bad("Projects", "holds a tenant without a name");
+        return m.invalid("Projects", "holds a tenant without a name");
     }
     if site.settings.tenants.iter().any(|t| !(0.0..=1e9).contains(&t.quota_per_s)) {
-        return m.bad("Projects", "holds a tenant whose QuotaPerS is out of bounds");
+        return m.invalid("Projects", "holds a tenant whose QuotaPerS is out of bounds");
     }
     for (names, field) in [(&site.class_names, "Services"), (&site.tenant_names, "Projects")] {
         if names.len() > MOST_NAMES {
-            return m.bad(field, &format!("holds more than {MOST_NAMES}"));
+            return m.invalid(field, &format!("holds more than {MOST_NAMES}"));
         }
         if names.iter().collect::<BTreeSet<_>>().len() < names.len() {
-            return m.bad(field, "names one twice");
+            return m.invalid(field, "names one twice");
         }
     }
     let allowed = m.inner("Allowed")?;
-    if !allowed.opt_whole("SendCap")?.is_some_and(|n| (1..=1000).contains(&n)) {
-        return allowed.bad("SendCap", "is out of bounds");
+    if !allowed.opt_integer("SendCap")?.is_some_and(|n| (1..=1000).contains(&n)) {
+        return allowed.invalid("SendCap", "is out of bounds");
     }
     if site.max_open.is_some_and(|n| !(1..=MOST_OPEN).contains(&n)) {
-        return allowed.bad("MaxOpen", "is out of bounds");
+        return allowed.invalid("MaxOpen", "is out of bounds");
     }
     if site.multiplex.is_some_and(|n| !(1..=MOST_OPEN).contains(&n)) {
-        return allowed.bad("Multiplex", "is out of bounds");
+        return allowed.invalid("Multiplex", "is out of bounds");
     }
     for (figure, field) in [(site.dial_timeout, "DialTimeout"), (site.keepalive, "Keepalive")] {
         if figure.is_some_and(|ms| !time(ms)) {
-            return allowed.bad(field, "is out of bounds");
+            return allowed.invalid(field, "is out of bounds");
         }
     }
     let cold = &site.settings.cold;
     let rules = m.inner("Rules")?;
     if let Some(budget) = site.settings.budget {
         if !time(budget.window) {
-            return rules.bad("RatioSpan", "is out of bounds");
+            return rules.invalid("RatioSpan", "is out of bounds");
         }
         if !((0.0..=1e9).contains(&budget.free_attempts) && (0.0..=1e3).contains(&budget.per_request)) {
-            return rules.bad("SpareAttempts", "or ExtraRatio is out of bounds");
+            return rules.invalid("SpareAttempts", "or ExtraRatio is out of bounds");
         }
     }
     if !share(cold.initial_capacity) || !(0.0..=LONGEST_MS).contains(&cold.warm_after) {
-        return rules.bad("ColdFrom", "or Cold is out of bounds");
+        return rules.invalid("ColdFrom", "or Cold is out of bounds");
     }
     if !(cold.overload_factor > 0.0 && cold.overload_factor < 1e6 && time(cold.overload_time)) {
-        return rules.bad("FallMultiple", "or Fall is out of bounds");
+        return rules.invalid("FallMultiple", "or Fall is out of bounds");
     }
     Ok(())
 }
