--- a/crates/brookbend/src/choice.rs
+++ b/crates/brookbend/src/choice.rs
@@ -160,7 +160,7 @@
         let width = Width { rows: settings.reach.max(1) as f64, ..Default::default() };
         let work = Work::new(settings.call_work);
         let served_rate = 1.0 / settings.aggregators.max(1) as f64;
-        let first = ClassEstimates { width, work, second_step: work.unit(), ..Default::default() };
+        let first = ClassEstimates { width, work, second_step_time: work.unit(), ..Default::default() };
         Aggregator {
             random: Random::new(seed),
             now: 0.0,
@@ -638,7 +638,7 @@
     /// Recent time of the second step; zero for a class of one step, or once the second step runs.
     pub(crate) fn second_step_time(&self, q: &QueryState) -> Millis {
         let ahead = self.settings.classes[q.class].second_step && q.first_answer_whole.is_none();
-        if ahead { self.learned[q.class].second_step } else { 0.0 }
+        if ahead { self.learned[q.class].second_step_time } else { 0.0 }
     }
 
     /// Share of the aim, in milliseconds, that belongs to the running step.
@@ -746,8 +746,8 @@
         }
         if q.first_answer_whole.is_some() {
             let most = self.settings.classes[q.class].aim * SECOND_STEP_AIM;
-            learned.second_step +=
-                SMOOTHING * ((self.now - q.first_answered_at).min(most) - learned.second_step);
+            learned.second_step_time +=
+                SMOOTHING * ((self.now - q.first_answered_at).min(most) - learned.second_step_time);
         }
         self.desk.groups.remove(&q.group);
         q.parts.iter().for_each(|p| drop(self.desk.part_of.remove(&p.id)));
--- a/crates/brookbend/src/snapshot.rs
+++ b/crates/brookbend/src/snapshot.rs
@@ -104,7 +104,7 @@
             rows: l.width.rows,
             work_per_part: l.work.unit(),
             lag: l.lag,
-            second_step_time: l.second_step,
+            second_step_time: l.second_step_time,
         };
         Snapshot {
             rev: 0,
@@ -132,7 +132,7 @@
             {
                 learned.width.rows = known.rows.max(1.0);
                 learned.work = Work::learned(known.work_per_part, self.settings.call_work);
-                (learned.lag, learned.second_step) = (known.lag, known.second_step_time);
+                (learned.lag, learned.second_step_time) = (known.lag, known.second_step_time);
             }
         }
         let window = self.settings.cold.overload_time;
--- a/crates/brookbend/src/state.rs
+++ b/crates/brookbend/src/state.rs
@@ -208,7 +208,7 @@
     /// Smoothed time that queries took beyond their forecast.
     pub(crate) lag: Millis,
     /// Smoothed time that the second step took.
-    pub(crate) second_step: Millis,
+    pub(crate) second_step_time: Millis,
     pub(crate) client_timeout: ClientTimeout,
     pub(crate) probes: Probes,
 }
