--- a/crates/brookbend/src/bin/brookbend-adapter.rs
+++ b/crates/brookbend/src/bin/brookbend-adapter.rs
@@ -23,13 +23,13 @@
             "in_service" => NodeState::Serving,
             "terminating" => NodeState::Draining,
             "terminated" => NodeState::Gone,
-            _ => return entry.bad("Mode", "is unknown"),
+            _ => return entry.invalid("Mode", "is unknown"),
         };
         members.push(Member {
             node: NodeId(entry.text("Node")?.into()),
-            cell: entry.opt_whole("Position")?.unwrap_or(0) as usize,
+            cell: entry.opt_integer("Position")?.unwrap_or(0) as usize,
             state,
-            zone: entry.opt_whole("Dc")?.map(|z| z as usize),
+            zone: entry.opt_integer("Dc")?.map(|z| z as usize),
             started: entry.opt_number("StartTime")?.filter(|t| *t > 0.0),
         });
     }
@@ -38,18 +38,18 @@
 
 /// Reads the arrival of a query or, if it names a shard (`Slice` from 0 on), of a part.
 fn arrival(message: &JsonObject, classes: usize) -> Result<Event, String> {
-    let class = message.whole("Service")? as usize;
+    let class = message.integer("Service")? as usize;
     if class >= classes {
-        return message.bad("Service", "names no class");
+        return message.invalid("Service", "names no class");
     }
     let shard = message.number("Slice")?;
-    let group = message.whole("GroupNo")?;
+    let group = message.integer("GroupNo")?;
     if shard < 0.0 {
         return Ok(Event::Query(Query {
             id: request_id(message)?,
             group,
             class: ClassIndex(class),
-            tenant: TenantIndex(message.opt_whole("Team")?.unwrap_or(0) as usize),
+            tenant: TenantIndex(message.opt_integer("Team")?.unwrap_or(0) as usize),
             deadline: message.number("GiveUpAt")?,
             client_deadline: message.number("GiveUpAt")?,
             max_attempts: None,
@@ -59,7 +59,7 @@
     Ok(Event::Part(Part {
         id: request_id(message)?,
         group,
-        shard: message.whole("Slice")? as usize,
+        shard: message.integer("Slice")? as usize,
         weight: message.number("Measure")?,
         work_hint: message.opt_number("Effort")?,
     }))
@@ -83,7 +83,7 @@
         "connection_lost" => Outcome::ConnectionLost,
         "called_off" => Outcome::Cancelled,
         "not_sent" => Outcome::NotSent,
-        _ => return message.bad("Rc", "is unknown"),
+        _ => return message.invalid("Rc", "is unknown"),
     })
 }
 
@@ -130,20 +130,20 @@
     /// Applies a message of the open batch. The error names the faulty field.
     fn receive(&mut self, message: &JsonObject) -> Result<(), String> {
         if message.name() == "Ledger" {
-            self.lists.insert(message.whole("Slot")?, members(message)?);
+            self.lists.insert(message.integer("Slot")?, members(message)?);
             return Ok(());
         }
-        let number = message.whole("I")?;
+        let number = message.integer("I")?;
         if message.name() == "Launch" {
             let settings = settings::decode(&message.inner("Env")?)?.settings;
             let classes = settings.classes.len();
-            let aggregator = Aggregator::new(settings, message.whole("RngSeed")?);
+            let aggregator = Aggregator::new(settings, message.integer("RngSeed")?);
             self.instances.insert(number, Instance { aggregator, classes });
             self.inbox.insert(number, Vec::new());
             return Ok(());
         }
         let Some(instance) = self.instances.get(&number) else {
-            return message.bad("I", "names an instance that was never launched");
+            return message.invalid("I", "names an instance that was never launched");
         };
         let event = match message.name() {
             "Destroy" => {
@@ -157,13 +157,13 @@
                     "snapshot" => ListKind::Complete,
                     "disk" => ListKind::Disk,
                     "error" => ListKind::Error,
-                    _ => return message.bad("Mode", "is unknown"),
+                    _ => return message.invalid("Mode", "is unknown"),
                 };
                 let members = match kind {
                     ListKind::Error => Vec::new(),
-                    _ => match self.lists.get(&message.whole("Slot")?) {
+                    _ => match self.lists.get(&message.integer("Slot")?) {
                         Some(members) => members.clone(),
-                        None => return message.bad("Slot", "names a list that was never declared"),
+                        None => return message.invalid("Slot", "names a list that was never declared"),
                     },
                 };
                 Some(Event::List { kind, members })
@@ -171,13 +171,13 @@
             "Order" => Some(arrival(message, instance.classes)?),
             "ReportBack" => Some(Event::Ended {
                 part: request_id(message)?,
-                attempt: message.whole("Hop")? as u32,
+                attempt: message.integer("Hop")? as u32,
                 outcome: outcome(message)?,
                 elapsed: message.number("Rtt")?,
                 load: reported_requests(message),
             }),
             "Dropped" => Some(Event::ClientGone(request_id(message)?)),
-            "DeadlineHit" => message.whole("Ref").map(|_| Some(Event::Woken))?,
+            "DeadlineHit" => message.integer("Ref").map(|_| Some(Event::Woken))?,
             // Part of the protocol, but of no use to the module.
             "Begun" | "Probed" | "Memo" => None,
             _ => return Err(format!("{}: the message is unknown", message.name())),
@@ -221,7 +221,7 @@
         let message = JsonObject::new(name, fields);
         match name {
             "Tick" => {
-                last = json!(message.whole("n").map_err(|e| format!("{}: {e}", place(&last)))?);
+                last = json!(message.integer("n").map_err(|e| format!("{}: {e}", place(&last)))?);
                 let now = message.number("Moment").map_err(|e| format!("{}: {e}", place(&last)))?;
                 if open.replace((now, last.clone())).is_some() {
                     return Err(format!("{}: Tick: the batch before is still open", place(&last)));
--- a/crates/brookbend/src/settings.rs
+++ b/crates/brookbend/src/settings.rs
@@ -1,153 +1,157 @@
-//! Decodes the settings object, as the simulator sends it and as a real broker finds it in its configuration.
+//! Decodes the settings object that the simulator sends and that a broker's configuration contains.
 
 use crate::api::*;
 use serde_json::{Map, Value};
 
-/// The settings of a site: what the decisions need, and what only a program on sockets does.
+/// Settings of a site: those of the decisions, and those that only a broker on real sockets needs.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// What an aggregator is told at its start.
+    /// Settings of the decisions.
     pub settings: Settings,
     /// Names of the classes, in the order of their indices.
     pub class_names: Vec<String>,
-    /// Names of the tenants, likewise.
+    /// Names of the tenants, in the order of their indices.
     pub tenant_names: Vec<String>,
-    /// Names of the zones, likewise.
+    /// Names of the zones, in the order of their indices.
     pub zones: Vec<String>,
-    /// Most queries and parts that one aggregator may hold.
+    /// Maximum number of queries and parts that one aggregator may have open, counted together.
     pub max_open: Option<u64>,
-    /// Most parts that one connection carries at once.
+    /// Maximum number of parts in flight on one connection.
     pub multiplex: Option<u64>,
-    /// A connection must be up within this time.
+    /// Time in milliseconds within which a connection must be established.
     pub dial_timeout: Option<Millis>,
-    /// Servers close connections that have been idle for this long.
+    /// Idle time in milliseconds after which servers close a connection.
     pub keepalive: Option<Millis>,
 }
 
-/// A JSON object, with what an error about it has to name.
+/// A JSON object with the name that error messages use for it.
 pub struct JsonObject<'a> {
     name: &'a str,
     fields: &'a Map<String, Value>,
 }
 
 impl<'a> JsonObject<'a> {
-    /// The object of this name.
+    /// Wraps the fields of an object under the given name.
     pub fn new(name: &'a str, fields: &'a Map<String, Value>) -> Self {
         JsonObject { name, fields }
     }
-    /// What errors call it.
+    /// Name of the object in error messages.
     pub fn name(&self) -> &str {
         self.name
     }
-    /// An error that names this object and the field.
-    pub fn bad<T>(&self, field: &str, what: &str) -> Result<T, String> {
+    /// Returns an error that names this object and the field.
+    pub fn invalid<T>(&self, field: &str, what: &str) -> Result<T, String> {
         Err(format!("{}: field {field} {what}", self.name))
     }
-    /// A field, unless it is absent or null.
+    /// Returns a field; `None` if it is absent or null.
     pub fn get(&self, field: &str) -> Option<&Value> {
         self.fields.get(field).filter(|v| !v.is_null())
     }
-    /// A number that may be absent.
+    /// Returns an optional number.
     pub fn opt_number(&self, field: &str) -> Result<Option<f64>, String> {
         match self.get(field) {
             None => Ok(None),
             Some(v) => match v.as_f64() {
                 Some(n) => Ok(Some(n)),
-                None => self.bad(field, "is not a number"),
+                None => self.invalid(field, "is not a number"),
             },
         }
     }
-    /// A number.
+    /// Returns a required number.
     pub fn number(&self, field: &str) -> Result<f64, String> {
         match self.opt_number(field)? {
             Some(n) => Ok(n),
-            None => self.bad(field, "is missing"),
+            None => self.invalid(field, "is missing"),
         }
     }
-    /// A whole number that may be absent.
-    pub fn opt_whole(&self, field: &str) -> Result<Option<u64>, String> {
+    /// Returns an optional integer that is not negative.
+    pub fn opt_integer(&self, field: &str) -> Result<Option<u64>, String> {
         match self.get(field) {
             None => Ok(None),
-            Some(v) => match v.as_u64().or_else(|| whole(v.as_f64())) {
+            Some(v) => match v.as_u64().or_else(|| integer_of(v.as_f64())) {
                 Some(n) => Ok(Some(n)),
-                None => self.bad(field, "is not a whole number"),
+                None => self.invalid(field, "is not a whole number"),
             },
         }
     }
-    /// A whole number.
-    pub fn whole(&self, field: &str) -> Result<u64, String> {
-        match self.opt_whole(field)? {
+    /// Returns a required integer that is not negative.
+    pub fn integer(&self, field: &str) -> Result<u64, String> {
+        match self.opt_integer(field)? {
             Some(n) => Ok(n),
-            None => self.bad(field, "is missing"),
+            None => self.invalid(field, "is missing"),
         }
     }
-    /// A string.
+    /// Returns a required string.
     pub fn text(&self, field: &str) -> Result<&str, String> {
         match self.get(field) {
-            None => self.bad(field, "is missing"),
+            None => self.invalid(field, "is missing"),
             Some(v) => match v.as_str() {
                 Some(s) => Ok(s),
-                None => self.bad(field, "is not a string"),
+                None => self.invalid(field, "is not a string"),
             },
         }
     }
-    /// A flag; absent means false.
+    /// Returns a flag; `false` if the field is absent.
     pub fn flag(&self, field: &str) -> Result<bool, String> {
         match self.get(field) {
             None => Ok(false),
             Some(v) => match v.as_bool() {
                 Some(b) => Ok(b),
-                None => self.bad(field, "is not true or false"),
+                None => self.invalid(field, "is not true or false"),
             },
         }
     }
-    /// A list.
+    /// Returns a required list.
     pub fn list(&self, field: &str) -> Result<&Vec<Value>, String> {
         match self.get(field) {
-            None => self.bad(field, "is missing"),
+            None => self.invalid(field, "is missing"),
             Some(v) => match v.as_array() {
                 Some(a) => Ok(a),
-                None => self.bad(field, "is not a list"),
+                None => self.invalid(field, "is not a list"),
             },
         }
     }
-    /// A list of numbers.
+    /// Returns a required list of numbers.
     pub fn numbers(&self, field: &str) -> Result<Vec<f64>, String> {
         let list = self.list(field)?;
         let numbers: Vec<f64> = list.iter().filter_map(Value::as_f64).collect();
-        if numbers.len() == list.len() { Ok(numbers) } else { self.bad(field, "is not a list of numbers") }
+        if numbers.len() == list.len() {
+            Ok(numbers)
+        } else {
+            self.invalid(field, "is not a list of numbers")
+        }
     }
-    /// An object inside this one.
+    /// Returns a required object inside this one.
     pub fn inner<'b>(&'b self, field: &'b str) -> Result<JsonObject<'b>, String> {
         match self.get(field) {
-            None => self.bad(field, "is missing"),
+            None => self.invalid(field, "is missing"),
             Some(v) => match v.as_object() {
                 Some(fields) => Ok(JsonObject { name: field, fields }),
-                None => self.bad(field, "is not an object"),
+                None => self.invalid(field, "is not an object"),
             },
         }
     }
-    /// The objects of a list inside this one.
+    /// Returns the objects of a required list inside this one.
     pub fn objects<'b>(&'b self, field: &'b str) -> Result<Vec<JsonObject<'b>>, String> {
         let mut objects = Vec::new();
         for v in self.list(field)? {
             match v.as_object() {
                 Some(fields) => objects.push(JsonObject { name: field, fields }),
-                None => return self.bad(field, "holds something that is not an object"),
+                None => return self.invalid(field, "holds something that is not an object"),
             }
         }
         Ok(objects)
     }
 }
 
-fn whole(n: Option<f64>) -> Option<u64> {
+fn integer_of(n: Option<f64>) -> Option<u64> {
     n.filter(|n| n.fract() == 0.0 && *n >= 0.0 && *n < 9.3e18).map(|n| n as u64)
 }
 
-fn nth(list: &[f64], index: usize, m: &JsonObject, field: &str) -> Result<f64, String> {
+fn nth_number(list: &[f64], index: usize, m: &JsonObject, field: &str) -> Result<f64, String> {
     match list.get(index) {
         Some(n) => Ok(*n),
-        None => m.bad(field, "has too few entries"),
+        None => m.invalid(field, "has too few entries"),
     }
 }
 
@@ -162,7 +166,7 @@
             "repeatable" => Semantics::Safe,
             "by_key" => Semantics::Keyed { window: c.number("MemorySpan")? },
             "once" => Semantics::Unsafe,
-            _ => return c.bad("Semantics", "is unknown"),
+            _ => return c.invalid("Semantics", "is unknown"),
         };
         classes.push(Class {
             aim: c.number("Aim")?,
@@ -170,16 +174,16 @@
             worth: c.number("Gain")?,
             late_worth: c.number("LateWorth")?,
             semantics,
-            need: nth(&need, i, family, "ClassNeed")?,
-            floor: nth(&floor, i, family, "MinShare")?,
-            partial_earns: nth(&earns, i, family, "PartialEarns")?,
-            second_step: nth(&fetch, i, family, "FetchParts")? > 0.0,
+            need: nth_number(&need, i, family, "ClassNeed")?,
+            floor: nth_number(&floor, i, family, "MinShare")?,
+            partial_earns: nth_number(&earns, i, family, "PartialEarns")?,
+            second_step: nth_number(&fetch, i, family, "FetchParts")? > 0.0,
         });
     }
     Ok(classes)
 }
 
-/// Reads the settings. The error names the faulty field.
+/// Decodes the settings. An error names the faulty field.
 pub fn decode(env: &JsonObject) -> Result<Site, String> {
     let family = env.inner("FamilyInfo")?;
     let allowed = env.inner("Allowed")?;
@@ -195,41 +199,41 @@
         rules.opt_number("ExtraRatio")?,
         rules.opt_number("RatioSpan")?,
     ) {
-        // A span alone rations nothing.
+        // A window without a limit restricts nothing.
         (None, None, _) => None,
         (spare, per_request, Some(span)) => Some(AttemptBudget {
             free_attempts: spare.unwrap_or(0.0),
             per_request: per_request.unwrap_or(0.0),
             window: span,
         }),
-        _ => return rules.bad("RatioSpan", "is missing"),
+        _ => return rules.invalid("RatioSpan", "is missing"),
     };
     let list = match env.text("MembershipMode")? {
         "pushed" => ListSource::Pushed,
         "on_request" => ListSource::OnRequest,
-        _ => return env.bad("MembershipMode", "is unknown"),
+        _ => return env.invalid("MembershipMode", "is unknown"),
     };
-    let decided = Settings {
+    let settings = Settings {
         classes: classes(env, &family)?,
         tenants,
-        aggregators: env.whole("PeersTotal")? as usize,
-        zone: env.opt_whole("Locality")?.map(|z| z as usize),
+        aggregators: env.integer("PeersTotal")? as usize,
+        zone: env.opt_integer("Locality")?.map(|z| z as usize),
         over_share_worth: env.opt_number("OverShareWorth")?.unwrap_or(1.0),
         worth_by_work: env.get("WorthBy").and_then(Value::as_str) == Some("work"),
         clients_mark_retries: match env.get("Clients") {
             Some(_) => env.inner("Clients")?.flag("MarksRetry")?,
             None => false,
         },
-        cells: family.whole("Positions")? as usize,
-        reach: family.whole("Width")? as usize,
-        shards: family.whole("Shards")? as usize,
-        batch: family.whole("Batch")? as usize,
+        cells: family.integer("Positions")? as usize,
+        reach: family.integer("Width")? as usize,
+        shards: family.integer("Shards")? as usize,
+        batch: family.integer("Batch")? as usize,
         call_work: family.number("Call")?,
-        max_attempts: allowed.whole("SendCap")? as u32,
+        max_attempts: allowed.integer("SendCap")? as u32,
         hedging: allowed.flag("SecondCopies")?,
         cancel: allowed.flag("Cancel")?,
         max_retry_after: if allowed.flag("RetryAfter")? {
-            // Advice to come back after no time is none.
+            // Advice to retry after no time is no advice.
             allowed.opt_number("MaxRetryAfter")?.filter(|most| *most > 0.0)
         } else {
             None
@@ -252,15 +256,15 @@
             Some(_) => env.list("Zones")?.iter().map(|z| z.as_str().unwrap_or_default().to_owned()).collect(),
             None => Vec::new(),
         },
-        max_open: allowed.opt_whole("MaxOpen")?,
-        multiplex: allowed.opt_whole("Multiplex")?,
+        max_open: allowed.opt_integer("MaxOpen")?,
+        multiplex: allowed.opt_integer("Multiplex")?,
         dial_timeout: allowed.opt_number("DialTimeout")?,
         keepalive: allowed.opt_number("Keepalive")?,
-        settings: decided,
+        settings,
     })
 }
 
-/// The names of a list of named things; empty where the list is absent.
+/// Returns the names of a list of named objects; empty if the list is absent.
 fn names(env: &JsonObject, field: &str) -> Result<Vec<String>, String> {
     if env.get(field).is_none() {
         return Ok(Vec::new());
