--- a/crates/broker/src/event_loop.rs
+++ b/crates/broker/src/event_loop.rs
@@ -62,7 +62,7 @@
     pub(crate) extensions: Extensions,
 }
 
-/// The broker's own time for parts and turns, learned from the thread's busy time at the end of each turn.
+/// The broker's overhead for parts and turns, learned from the thread's busy time at the end of each turn.
 #[derive(Debug, Default)]
 pub(crate) struct OverheadAccounting {
     estimator: OverheadEstimator,
@@ -144,7 +144,7 @@
         yield_now().await;
     }
 
-    /// Updates the estimate of the broker's own time after a turn.
+    /// Updates the estimate of the broker's overhead after a turn.
     fn account(&mut self, sent: usize, ended: usize) {
         let (total, dials) = (self.busy.total(), self.upstream.dial_count());
         let OverheadAccounting { estimator, last_busy, last_dials } = &mut self.overhead;
@@ -216,15 +216,15 @@
         self.queries.record_updates(self.extensions.wants_updates());
         for action in actions {
             match action {
-                Action::Restore(recall) => {
+                Action::Restore(snapshot) => {
                     let actions = self.extensions.notify(now, TurnEvent::StateReceived);
                     self.perform(now, actions);
                     // The list applied at the start takes effect with a tick, and the snapshot refers to its
                     // servers.
                     let decisions = self.core.tick(now);
                     self.carry_out(now, decisions);
-                    self.core.restore(now, 0, &recall);
-                    self.server_list.apply_drains(now, &recall, &mut self.core, &mut self.upstream);
+                    self.core.restore(now, 0, &snapshot);
+                    self.server_list.apply_drains(now, &snapshot, &mut self.core, &mut self.upstream);
                 }
                 Action::ApplyUpdate(word) => self.queries.apply_update(now, word),
                 Action::SetProcessCount(processes) => {
@@ -309,6 +309,7 @@
         sends.into_iter().for_each(|group| self.upstream.dispatch(now, group));
     }
 
+    /// Answers a call of an operator with a status code and a text.
     fn operate(&mut self, now: Micros, call: Call) -> (u16, String) {
         let metrics = || {
             let (discovered, ejected) = self.core.server_counts(now);
@@ -329,6 +330,7 @@
         self.doors.operate(now, call, self.extensions.not_ready_reason(), self.queries.len(), metrics)
     }
 
+    /// Applies a server list or changes to it.
     fn apply_list(&mut self, now: Micros, scope: ListScope, targets: &Targets) {
         self.server_list.apply(now, scope, targets, &mut self.core, &mut self.upstream);
     }
@@ -372,6 +374,7 @@
         ended.into_iter().map(report).collect()
     }
 
+    /// Carries out decisions: cancels attempts, ends queries and collects dispatches for the end of the turn.
     fn carry_out(&mut self, now: Micros, decisions: Decisions) {
         if decisions.refused_full > 0 {
             warn!(name: "no_room", queries = decisions.refused_full, held = self.core.units_in_use());
@@ -398,16 +401,17 @@
     fn log_refusals(&mut self) {
         let refusals = self.core.refusals();
         let logged = std::mem::replace(&mut self.refusals_logged, refusals.total());
-        let Refusals { past_aim, mean, slowest, overhead: own, lag, newest, probes } = refusals;
+        let Refusals { past_aim, mean, slowest, overhead, lag, newest, probes } = refusals;
         if let Some(newest) = newest.filter(|_| logged < refusals.total()) {
             debug!(
-                name: "refused_on_arrival", past_aim, mean, slowest, own, lag, probes, class = newest.class.0,
-                mean_ms = newest.mean, slowest_ms = newest.slowest, own_ms = newest.overhead, lag_ms = newest.lag,
-                allowed_ms = newest.allowed
+                name: "refused_on_arrival", past_aim, mean, slowest, own = overhead, lag, probes,
+                class = newest.class.0, mean_ms = newest.mean, slowest_ms = newest.slowest,
+                own_ms = newest.overhead, lag_ms = newest.lag, allowed_ms = newest.allowed
             );
         }
     }
 
+    /// Answers a query as the decision module decided.
     fn finish(&mut self, now: Micros, query: QueryId, verdict: Verdict) {
         let actions = self
             .extensions
--- a/crates/broker/src/server_list.rs
+++ b/crates/broker/src/server_list.rs
@@ -49,15 +49,15 @@
     pub(crate) fn apply_drains(
         &self,
         now: Micros,
-        recall: &Snapshot,
+        snapshot: &Snapshot,
         core: &mut Core,
         upstream: &mut Upstream,
     ) {
-        if recall.rev < self.rev {
+        if snapshot.rev < self.rev {
             return;
         }
         let leaving: BTreeSet<&str> =
-            recall.servers.iter().filter(|s| s.draining_or_gone).map(|s| s.name.as_str()).collect();
+            snapshot.servers.iter().filter(|s| s.draining_or_gone).map(|s| s.name.as_str()).collect();
         let unused_address = SocketAddr::from(([0, 0, 0, 0], 0));
         let views = core.server_statuses(now, |_| Some(unused_address)).into_iter();
         let drained = views.filter(|v| v.state == NodeState::Serving && leaving.contains(&*v.name.0));
