--- a/crates/broker/src/coming.rs
+++ b/crates/broker/src/coming.rs
@@ -4,7 +4,7 @@
 use plover_model::query::QueryRequest;
 use plover_model::time::{MILLI, Micros};
 use plover_operator_file::ComeBack;
-use plover_ops::Census;
+use plover_ops::Gauges;
 use plover_recovery::{Budget, Change, Coming, Phase, Rates, Times, turn_of};
 use tracing::info;
 
@@ -64,8 +64,8 @@
         Some(format!("coming back: {}", coming.phase().name()))
     }
 
-    fn report_gauges(&self, census: &mut Census) {
-        census.phase = self.0.as_ref().map(|coming| coming.phase().place());
+    fn report_gauges(&self, census: &mut Gauges) {
+        census.recovery_phase = self.0.as_ref().map(|coming| coming.phase().place());
     }
 }
 
@@ -153,8 +153,8 @@
             (told(&mut way, 1, TurnEvent::StateReceived), way.not_ready_reason(), way.due(1, view)),
             (1, None, None)
         );
-        let mut census = Census::default();
+        let mut census = Gauges::default();
         way.report_gauges(&mut census);
-        assert_eq!(census.phase, None);
+        assert_eq!(census.recovery_phase, None);
     }
 }
--- a/crates/broker/src/doors.rs
+++ b/crates/broker/src/doors.rs
@@ -3,7 +3,7 @@
 use crate::front::Fronts;
 use plover_model::query::QueryId;
 use plover_model::time::Micros;
-use plover_ops::{Call, Effect, Ending, Life, Stage};
+use plover_ops::{Call, Effect, Life, ShutdownTimes, Stage};
 use tracing::{info, warn};
 
 /// The fronts and the life that they go by. `shut` says in each call whether a part keeps the broker from being ready.
@@ -31,25 +31,25 @@
     /// which the loop does between two turns: [`Doors::close`].
     fn go(&self, effect: Effect, shut: bool) {
         match effect {
-            Effect::Go(Stage::Closing) | Effect::None => {}
+            Effect::Enter(Stage::Closing) | Effect::None => {}
             // One that lets nothing in yet is not ready, but what comes all the same is answered.
-            Effect::Go(Stage::Serving) if shut => self.fronts.go(Stage::Leaving),
-            Effect::Go(stage) => self.fronts.go(stage),
+            Effect::Enter(Stage::Serving) if shut => self.fronts.go(Stage::Draining),
+            Effect::Enter(stage) => self.fronts.go(stage),
         }
     }
 
     /// Serves, where nothing speaks against it.
     pub(crate) fn open(&self, shut: bool) {
         if self.life.is_ready() {
-            self.go(Effect::Go(Stage::Serving), shut);
+            self.go(Effect::Enter(Stage::Serving), shut);
         }
     }
 
     /// The program is to end; clients that are connected may stay for so long. False: it was to end already.
-    pub(crate) fn terminate(&mut self, now: Micros, ending: Ending, open_queries: usize) -> bool {
-        let effect = self.life.terminate(now, ending.stay);
+    pub(crate) fn terminate(&mut self, now: Micros, ending: ShutdownTimes, open_queries: usize) -> bool {
+        let effect = self.life.terminate(now, ending.grace_period);
         if effect != Effect::None {
-            self.ends_by = now + ending.end;
+            self.ends_by = now + ending.kill_at;
             info!(name: "leaving", open_queries);
         }
         self.go(effect, false);
@@ -90,10 +90,10 @@
         }
         let effect = self.life.tick(now);
         self.go(effect, false);
-        if self.life == Life::Gone {
+        if self.life == Life::Closed {
             self.fronts.close().await;
         }
-        if self.life != Life::Gone {
+        if self.life != Life::Closed {
             return false;
         }
         let open = self.fronts.open();
--- a/crates/broker/src/event_loop.rs
+++ b/crates/broker/src/event_loop.rs
@@ -22,7 +22,7 @@
 use plover_model::query::{AttemptId, QueryId, QueryRequest, Reply};
 use plover_model::server::{ListScope, Outcome, Targets};
 use plover_model::time::{Micros, millis};
-use plover_ops::{Call, Census, Ending};
+use plover_ops::{Call, Gauges, ShutdownTimes};
 use plover_pacing::Pacing;
 use plover_query::SETTINGS_EFFECTIVE_AFTER;
 use plover_runtime::busy::BusyTime;
@@ -241,11 +241,12 @@
     /// Starts the shutdown. Connected clients are served for as long as that can be finished before the
     /// process is killed.
     fn terminate(&mut self, now: Micros) {
-        let ending = Ending::of(self.core.max_client_timeout(now));
+        let ending = ShutdownTimes::for_client_timeout(self.core.max_client_timeout(now));
         let superseded = self.extensions.siblings().is_some_and(Neighbours::has_newer);
-        let ending = Ending { stay: if superseded { 0 } else { ending.stay }, ..ending };
+        let ending =
+            ShutdownTimes { grace_period: if superseded { 0 } else { ending.grace_period }, ..ending };
         if self.doors.terminate(now, ending, self.queries.len()) {
-            self.core.finish_by(now + ending.answer);
+            self.core.finish_by(now + ending.answer_by);
         }
     }
 
@@ -312,17 +313,17 @@
     fn operate(&mut self, now: Micros, call: Call) -> (u16, String) {
         let metrics = || {
             let (discovered, ejected) = self.core.server_counts(now);
-            let mut census = Census {
+            let mut census = Gauges {
                 forwards: self.upstream.forwards(),
                 discovered,
                 ejected,
-                applied: self.files.taken,
-                rejected: self.files.turned_down,
-                phase: None,
-                short_of_room: None,
+                reloads_applied: self.files.taken,
+                reloads_rejected: self.files.turned_down,
+                recovery_phase: None,
+                connection_shortages: None,
             };
             let (refused, in_part) = (self.room.refused, self.room.in_part);
-            census.short_of_room = (refused + in_part > 0).then_some((refused, in_part));
+            census.connection_shortages = (refused + in_part > 0).then_some((refused, in_part));
             self.extensions.report_gauges(&mut census);
             self.queries.render_metrics(&census)
         };
--- a/crates/broker/src/extensions.rs
+++ b/crates/broker/src/extensions.rs
@@ -14,7 +14,7 @@
 use plover_model::query::QueryRequest;
 use plover_model::snapshot::Snapshot;
 use plover_model::time::Micros;
-use plover_ops::Census;
+use plover_ops::Gauges;
 
 /// What an extension may see of the broker.
 #[derive(Clone, Copy)]
@@ -108,7 +108,7 @@
     }
 
     /// Sets the extension's own gauges.
-    fn report_gauges(&self, _census: &mut Census) {}
+    fn report_gauges(&self, _census: &mut Gauges) {}
 
     /// The other processes of this broker. At most one extension returns them.
     fn siblings(&self) -> Option<&Neighbours> {
@@ -161,7 +161,7 @@
     }
 
     /// Sets the gauges of all extensions.
-    pub(crate) fn report_gauges(&self, census: &mut Census) {
+    pub(crate) fn report_gauges(&self, census: &mut Gauges) {
         self.0.iter().for_each(|extension| extension.report_gauges(census));
     }
 
@@ -211,7 +211,7 @@
         for event in events {
             black_box((extensions.notify(now, event).len(), extensions.wants_updates()));
         }
-        let mut census = Census::default();
+        let mut census = Gauges::default();
         extensions.report_gauges(&mut census);
         black_box((
             extensions.admit(now, request),
--- a/crates/broker/src/front/door.rs
+++ b/crates/broker/src/front/door.rs
@@ -15,7 +15,7 @@
 use plover_http1::{Limits, Reader, RequestDecoder, Step, encode_response};
 use plover_ops::{BadCall, Call, decode};
 use plover_query::{Response, plain_text};
-use plover_runtime::clock::limited;
+use plover_runtime::clock::with_timeout;
 use plover_runtime::net::{LINGER, read_some};
 use std::io::{self, Write};
 use std::net::{Shutdown, TcpStream};
@@ -79,7 +79,7 @@
         };
         let head_only = request.is_some_and(|r| r.method() == Method::HEAD);
         let bytes = encode_response(&self.shared.dated(response), Reader { head_only, ..LAST });
-        limited(WRITE_TIME, (&*stream).write_all(&bytes)).await
+        with_timeout(WRITE_TIME, (&*stream).write_all(&bytes)).await
     }
 
     /// Reads the call; the inner error is the answer to what is none.
@@ -107,7 +107,7 @@
             spare.closed().await;
             Err(io::ErrorKind::TimedOut.into())
         };
-        match limited(CALL_TIME, read.or(evicted)).await {
+        match with_timeout(CALL_TIME, read.or(evicted)).await {
             // Its seat is wanted, or its time is over: what the socket takes at once is all that it is told, since a seat
             // that waited for it to go would be held by it still.
             Err(e) if e.kind() == io::ErrorKind::TimedOut => {
@@ -124,7 +124,7 @@
         let (sender, receiver) = async_channel::bounded(1);
         self.shared.inbox.put(Input::Operator(call, sender));
         let answer = async { receiver.recv().await.map_err(io::Error::other) };
-        match limited(TURN_TIME, answer).await {
+        match with_timeout(TURN_TIME, answer).await {
             Ok((status, text)) => plain_text(status, "", &text),
             Err(_) => plain_text(503, "", "no turn in time"),
         }
@@ -132,5 +132,5 @@
 }
 
 fn bad_call(bad: BadCall) -> Response {
-    plain_text(bad.status(), bad.allow(), bad.why())
+    plain_text(bad.status(), bad.allow(), bad.explanation())
 }
--- a/crates/broker/src/front/http1.rs
+++ b/crates/broker/src/front/http1.rs
@@ -11,7 +11,7 @@
 use plover_http1::{Fault, Limits, Message, Reader, RequestDecoder, Step, encode_response};
 use plover_model::query::Reply;
 use plover_query::{MAX_BODY_LENGTH, MAX_HEAD_LENGTH, Response, Routed, connection_refusal, encode_reply};
-use plover_runtime::clock::limited;
+use plover_runtime::clock::with_timeout;
 use plover_runtime::net::{LINGER, read_some};
 use std::io::{self, Write};
 use std::net::{Shutdown, TcpStream};
@@ -140,13 +140,13 @@
             };
             let (response, usable, cut) = self.answer(number, &message.value, stream, &mut input).await?;
             let stage = self.shared.stage();
-            if stage > Stage::Staying && input.is_empty() {
+            if stage > Stage::GracePeriod && input.is_empty() {
                 // A request behind this one was sent before its client could know that the connection ends.
                 let _ = read_some(stream, &mut input).or(async { Ok(0) }).await;
             }
             let stays = match stage {
-                Stage::Serving | Stage::Staying => true,
-                Stage::Leaving | Stage::Empty => !input.is_empty(),
+                Stage::Serving | Stage::GracePeriod => true,
+                Stage::Draining | Stage::CloseIdle => !input.is_empty(),
                 Stage::Closing => !input.is_empty() && last_ones > 0,
             };
             last_ones -= usize::from(stage == Stage::Closing && stays);
@@ -182,8 +182,8 @@
             true => self.seats.idle_time(),
             // Nobody is sent here any more but by fronts that notice late: they speak at once.
             false => match self.shared.stage() {
-                Stage::Serving | Stage::Staying | Stage::Leaving => SILENCE,
-                Stage::Empty => SILENCE_EMPTY,
+                Stage::Serving | Stage::GracePeriod | Stage::Draining => SILENCE,
+                Stage::CloseIdle => SILENCE_EMPTY,
                 // The system had accepted it before the doors closed: its request is on its way.
                 Stage::Closing => JUST_COME,
             },
@@ -195,11 +195,11 @@
         let end = async {
             let room = async {
                 spare.closed().await;
-                self.shared.stage() < Stage::Empty
+                self.shared.stage() < Stage::CloseIdle
             };
             let silent = async {
                 silent.await;
-                if served && self.shared.stage() == Stage::Staying {
+                if served && self.shared.stage() == Stage::GracePeriod {
                     // Its client may have nowhere else to go, and nobody new wants its seat: it is closed with all others.
                     futures_lite::future::pending::<()>().await;
                 }
@@ -220,7 +220,7 @@
         input: &mut Vec<u8>,
         served: bool,
     ) -> io::Result<Read> {
-        let read = limited(MESSAGE_TIME, read_request(stream, decoder, input));
+        let read = with_timeout(MESSAGE_TIME, read_request(stream, decoder, input));
         if served {
             return read.await;
         }
@@ -288,7 +288,7 @@
                     told = true;
                     write(stream, b"HTTP/1.1 100 Continue\r\n\r\n").await?;
                 }
-                if limited(SILENCE, read_some(stream, input)).await? == 0 {
+                if with_timeout(SILENCE, read_some(stream, input)).await? == 0 {
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
                 yield_now().await;
@@ -298,5 +298,5 @@
 }
 
 async fn write(mut stream: &Async<TcpStream>, bytes: &[u8]) -> io::Result<()> {
-    limited(MESSAGE_TIME, stream.write_all(bytes)).await
+    with_timeout(MESSAGE_TIME, stream.write_all(bytes)).await
 }
--- a/crates/broker/src/front/http2/mod.rs
+++ b/crates/broker/src/front/http2/mod.rs
@@ -23,7 +23,7 @@
 use plover_model::query::Reply;
 use plover_model::time::{Micros, SECOND};
 use plover_query::{MAX_BODY_LENGTH, encode_reply};
-use plover_runtime::clock::{Clock, limited, span};
+use plover_runtime::clock::{Clock, duration, with_timeout};
 use plover_runtime::net::{LINGER, read_some};
 use std::cell::Cell;
 use std::future::{Future, poll_fn};
@@ -124,7 +124,7 @@
             Ok(())
         };
         let late = async {
-            spare.closed().or(async { _ = Timer::after(span(SILENCE)).await }).await;
+            spare.closed().or(async { _ = Timer::after(duration(SILENCE)).await }).await;
             Err(None)
         };
         read.or(late).await?;
@@ -138,7 +138,7 @@
             let reply = self.shared.dated(encode_reply(&Reply::Bad { status: 400, why }));
             let reader = Reader { version: Version::HTTP_11, head_only: false, keep_alive: false };
             let bytes = encode_response(&reply, reader);
-            limited(span(LAST_WORDS), (&*stream).write_all(&bytes)).await?;
+            with_timeout(duration(LAST_WORDS), (&*stream).write_all(&bytes)).await?;
         }
         Ok(())
     }
@@ -166,7 +166,7 @@
             .reset_stream_duration(RESET_TIME)
             .handshake::<_, Bytes>(io);
         let handshake = async { handshake.await.map_err(std::io::Error::other) };
-        let Ok(h2) = limited(span(SILENCE), handshake).await else { return Parting::InOrder };
+        let Ok(h2) = with_timeout(duration(SILENCE), handshake).await else { return Parting::InOrder };
         let mut life = Life {
             front: self,
             seat,
@@ -289,7 +289,7 @@
         match self.front.shared.stage() {
             Stage::Serving => false,
             // The notice ends nothing: a client that has nowhere else to go goes on here, and is served.
-            Stage::Staying | Stage::Leaving | Stage::Empty => self.asked,
+            Stage::GracePeriod | Stage::Draining | Stage::CloseIdle => self.asked,
             Stage::Closing => self.asked || self.front.clock.now() >= self.just_come_until,
         }
     }
--- a/crates/broker/src/front/http2/stream.rs
+++ b/crates/broker/src/front/http2/stream.rs
@@ -11,7 +11,7 @@
 use plover_admission::ConnectionId;
 use plover_model::query::Reply;
 use plover_query::{MAX_BODY_LENGTH, Routed, encode_reply};
-use plover_runtime::clock::{limited, span};
+use plover_runtime::clock::{duration, with_timeout};
 use std::future::poll_fn;
 use std::io;
 use std::rc::Rc;
@@ -46,7 +46,7 @@
     let begun = Instant::now();
     let (head, mut body) = request.into_parts();
     let head_only = head.method == Method::HEAD;
-    let read = limited(MESSAGE_TIME, read_body(&mut body, declared(&head.headers)));
+    let read = with_timeout(MESSAGE_TIME, read_body(&mut body, declared(&head.headers)));
     let (reply, usable, until) = match read.await {
         Ok(Body::Whole(bytes)) => {
             let request = Request::from_parts(head, bytes);
@@ -56,7 +56,7 @@
                 match shared.route(&request) {
                     Routed::Answered { response, usable } => (response, usable, begun + MESSAGE_TIME),
                     Routed::Query(ask) => {
-                        let until = begun + span(ask.client_timeout);
+                        let until = begun + duration(ask.client_timeout);
                         // The connection reads when its streams have been looked at: a reset shows with the second look.
                         let ticket = shared.inbox.submit(connection, ask, 2);
                         // The client's reset drops the ticket, and so tells the turn loop in time for its next turn.
@@ -121,7 +121,7 @@
     }
     let mut bytes = Vec::new();
     while let Some(data) =
-        limited(SILENCE, async { body.data().await.transpose().map_err(io::Error::other) }).await?
+        with_timeout(SILENCE, async { body.data().await.transpose().map_err(io::Error::other) }).await?
     {
         if bytes.len() + data.len() > MAX_BODY_LENGTH {
             return Ok(Body::TooLong);
@@ -129,7 +129,7 @@
         bytes.extend_from_slice(&data);
     }
     // Trailers are taken and thrown away, as over HTTP/1.1.
-    limited(SILENCE, async { body.trailers().await.map_err(io::Error::other) }).await?;
+    with_timeout(SILENCE, async { body.trailers().await.map_err(io::Error::other) }).await?;
     let _ = body.flow_control().release_capacity(bytes.len());
     Ok(Body::Whole(bytes))
 }
--- a/crates/broker/src/front/mod.rs
+++ b/crates/broker/src/front/mod.rs
@@ -113,9 +113,9 @@
         let Some((task, listener)) = self.accepting.take() else { return };
         task.cancel().await;
         accept::accept_waiting(&self.front, executor).await;
-        net::shut(&listener);
+        net::refuse_new_connections(&listener);
         accept::accept_rest(&self.front, &listener, executor).await;
-        Timer::after(net::HANDSHAKE).await;
+        Timer::after(net::HANDSHAKE_TIME).await;
         accept::accept_rest(&self.front, &listener, executor).await;
     }
 
@@ -202,11 +202,11 @@
         self.shared.terms.borrow_mut().update(at, terms);
     }
 
-    /// Goes by another stage; with [`Stage::Empty`] idle connections are closed. For [`Stage::Closing`] there is
+    /// Goes by another stage; with [`Stage::CloseIdle`] idle connections are closed. For [`Stage::Closing`] there is
     /// [`Fronts::close`].
     pub fn go(&self, stage: Stage) {
         self.shared.set_stage(stage);
-        if stage == Stage::Empty {
+        if stage == Stage::CloseIdle {
             self.http1.front.close_idle();
         }
     }
--- a/crates/broker/src/front/tests.rs
+++ b/crates/broker/src/front/tests.rs
@@ -6,7 +6,7 @@
 use futures_lite::AsyncWriteExt;
 use futures_lite::future::yield_now;
 use plover_model::query::{Names, Reply};
-use plover_runtime::clock::limited;
+use plover_runtime::clock::with_timeout;
 use plover_runtime::net::read_some;
 use std::net::TcpStream;
 
@@ -34,7 +34,7 @@
         }
         Ok(())
     };
-    async_io::block_on(executor.run(limited(Duration::from_secs(30), taken))).unwrap();
+    async_io::block_on(executor.run(with_timeout(Duration::from_secs(30), taken))).unwrap();
 }
 
 const READY: &[u8] = b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -62,7 +62,7 @@
     }
 
     fn run<T>(&self, work: impl Future<Output = T>) -> T {
-        let work = limited(Duration::from_secs(30), async { Ok(work.await) });
+        let work = with_timeout(Duration::from_secs(30), async { Ok(work.await) });
         async_io::block_on(self.executor.run(work)).unwrap()
     }
 }
@@ -78,14 +78,14 @@
 /// the connection, and knows that none of them was taken.
 #[test]
 fn a_request_that_crosses_the_closing_of_its_connection_meets_no_reset() {
-    for stage in [Stage::Serving, Stage::Empty] {
+    for stage in [Stage::Serving, Stage::CloseIdle] {
         let rig = Rig::new(2);
         rig.run(async {
             let client = rig.connect();
             // At `Serving` its time as an idle one ends; at `Empty` all idle ones are closed.
             (&client).write_all(READY).await.unwrap();
             assert!(next(&client).await.starts_with("HTTP/1.1 200"));
-            if stage == Stage::Empty {
+            if stage == Stage::CloseIdle {
                 rig.shared.set_stage(stage);
                 rig.listening.front.close_idle();
             }
@@ -110,12 +110,12 @@
         let client = rig.connect();
         (&client).write_all(READY).await.unwrap();
         assert!(next(&client).await.starts_with("HTTP/1.1 200"));
-        rig.shared.set_stage(Stage::Staying);
+        rig.shared.set_stage(Stage::GracePeriod);
         Timer::after(2 * seats::IDLE_PRESSED).await;
         (&client).write_all(READY).await.unwrap();
         let answer = next(&client).await;
         assert!(answer.starts_with("HTTP/1.1 503") && !answer.contains("Connection: close"), "{answer}");
-        rig.shared.set_stage(Stage::Empty);
+        rig.shared.set_stage(Stage::CloseIdle);
         rig.listening.front.close_idle();
         assert_eq!(next(&client).await, "");
     });
@@ -125,7 +125,7 @@
 #[test]
 fn a_request_behind_the_last_answer_meets_no_reset() {
     let rig = Rig::new(2);
-    rig.shared.set_stage(Stage::Empty);
+    rig.shared.set_stage(Stage::CloseIdle);
     rig.run(async {
         let client = rig.connect();
         (&client).write_all(READY).await.unwrap();
@@ -195,7 +195,7 @@
     let routes = Operator::default().routes(&names.classes);
     *rig.shared.terms.borrow_mut() =
         RequestConfigHistory::new(RequestConfig { names, settings: Some(crate::rig::settings()), routes });
-    rig.shared.set_stage(Stage::Leaving);
+    rig.shared.set_stage(Stage::Draining);
     rig.run(async {
         let client = rig.connect();
         (&client).write_all(QUERY).await.unwrap();
@@ -223,7 +223,7 @@
 /// the oldest is closed for the next.
 #[test]
 fn those_that_made_room_are_read_on_and_are_few() {
-    for stage in [Stage::Serving, Stage::Staying] {
+    for stage in [Stage::Serving, Stage::GracePeriod] {
         let rig = Rig::new(8);
         rig.shared.set_stage(stage);
         rig.run(async {
--- a/crates/broker/src/neighbours.rs
+++ b/crates/broker/src/neighbours.rs
@@ -11,7 +11,7 @@
 use plover_handover::wire::Word;
 use plover_handover::{LinkId, Me, Neighbours, News, Times};
 use plover_model::time::Micros;
-use plover_runtime::clock::{Clock, limited};
+use plover_runtime::clock::{Clock, with_timeout};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::net::sockopt::socket_peercred;
 use rustix::process::{PidfdFlags, geteuid, pidfd_open};
@@ -89,7 +89,7 @@
         if is_ours(&own) {
             let _ = std::fs::remove_file(&own);
         }
-        let me = Me { name: name.to_owned(), started: clock.shared(clock.now()), pid };
+        let me = Me { name: name.to_owned(), started: clock.machine_time(clock.now()), pid };
         let mut sockets = Sockets {
             executor,
             inbox,
@@ -119,7 +119,7 @@
     }
 
     fn call(&mut self, now: Micros, path: &Path) {
-        match async_io::block_on(limited(CONNECT, Async::<UnixStream>::connect(path))) {
+        match async_io::block_on(with_timeout(CONNECT, Async::<UnixStream>::connect(path))) {
             Ok(stream) => self.add(now, stream),
             // Its process has gone without a word, and left this behind.
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => _ = std::fs::remove_file(path),
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -13,7 +13,7 @@
 use plover_model::query::{AttemptId, Names, Proof, QueryId, QueryRequest, Reply};
 use plover_model::server::Outcome;
 use plover_model::time::{Micros, millis};
-use plover_ops::{Books, Census, End, Row};
+use plover_ops::{ClassCounter, Counters, Gauges, QueryResult};
 use plover_repeats::{IdempotencyKey, KeyEvent, KeyRegister, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -24,7 +24,7 @@
 
 /// An open query. Dropping it closes the channel to its client, so it is dropped when its one reply is sent.
 struct PendingQuery {
-    class_counter: Row,
+    class_counter: ClassCounter,
     connection: ConnectionId,
     permit: Permit,
     request: QueryRequest,
@@ -79,11 +79,11 @@
 }
 
 /// How a query with this reply is counted; `None` for a bad request, which is not counted as a query.
-fn end_of(reply: &Reply) -> Option<End> {
+fn end_of(reply: &Reply) -> Option<QueryResult> {
     match reply {
-        Reply::Answer { .. } => Some(End::Succeeded),
-        Reply::Refused { .. } => Some(End::Declined),
-        Reply::Failed => Some(End::Aborted),
+        Reply::Answer { .. } => Some(QueryResult::Succeeded),
+        Reply::Refused { .. } => Some(QueryResult::Declined),
+        Reply::Failed => Some(QueryResult::Aborted),
         Reply::Bad { .. } => None,
     }
 }
@@ -164,9 +164,9 @@
     messages: Option<Vec<Word>>,
     /// The machine's clock at zero of the broker's clock.
     origin: Micros,
-    counters: Books,
+    counters: Counters,
     /// The counters of each class, by class index.
-    class_counters: Vec<Row>,
+    class_counters: Vec<ClassCounter>,
     /// Names of classes and tenants by index. Keys are registered under names, since an index may change
     /// before the key is used again.
     names: Names,
@@ -181,8 +181,8 @@
         seed: u64,
         origin: Micros,
     ) -> Self {
-        let mut counters = Books::default();
-        let class_counters = names.classes.iter().map(|name| counters.row(name)).collect();
+        let mut counters = Counters::default();
+        let class_counters = names.classes.iter().map(|name| counters.class_counter(name)).collect();
         let (max_window, max_wait) = repeat_times(settings);
         let mut key_register = KeyRegister::new(max_window, max_wait, MAX_KEYS);
         key_register.allow_hedging(settings.hedging);
@@ -257,7 +257,7 @@
         self.windows = windows(settings);
         self.shares.set_capacity(capacity);
         self.max_retry_after = settings.max_retry_after.map(millis);
-        self.class_counters = names.classes.iter().map(|name| self.counters.row(name)).collect();
+        self.class_counters = names.classes.iter().map(|name| self.counters.class_counter(name)).collect();
         self.names.clone_from(names);
     }
 
@@ -320,7 +320,7 @@
     }
 
     /// Renders all metrics as text.
-    pub(crate) fn render_metrics(&self, census: &Census) -> String {
+    pub(crate) fn render_metrics(&self, census: &Gauges) -> String {
         self.counters.render(census)
     }
 
@@ -332,8 +332,8 @@
     /// Refuses a query at once, while the broker ramps up after a restart.
     pub(crate) fn refuse(&mut self, request: &QueryRequest, client: &Client) {
         let class_counter = self.class_counters[request.class];
-        self.counters.take(class_counter);
-        self.counters.end(class_counter, End::Declined);
+        self.counters.count_accepted(class_counter);
+        self.counters.count_ended(class_counter, QueryResult::Declined);
         client.answer(Reply::Refused { retry_after: self.max_retry_after });
     }
 
@@ -352,8 +352,8 @@
         let counters = &mut self.counters;
         let mut answer_at_once = |reply| {
             if let Some(end) = end_of(&reply) {
-                counters.take(class_counter);
-                counters.end(class_counter, end);
+                counters.count_accepted(class_counter);
+                counters.count_ended(class_counter, end);
             }
             client.answer(reply);
             None
@@ -428,7 +428,7 @@
         }
         self.ids.insert(request.id.clone());
         let values = vec![None; request.parts.len()];
-        self.counters.take(class_counter);
+        self.counters.count_accepted(class_counter);
         let (any_sent, omitted_weight) = (false, 0.0);
         let pending = PendingQuery {
             class_counter,
@@ -448,7 +448,7 @@
 
     /// Ends a query whose client has gone. Does nothing if the query was answered at the same time.
     pub(crate) fn client_gone(&mut self, now: Micros, query: QueryId) {
-        if let Some(pending) = self.close(now, query, End::Aborted) {
+        if let Some(pending) = self.close(now, query, QueryResult::Aborted) {
             pending.span.in_scope(|| debug!(name: "query_gone", query));
         }
     }
@@ -459,21 +459,21 @@
         let values = std::mem::take(&mut pending.values);
         let shards = pending.request.parts.iter().map(|p| p.shard);
         let reply = reply(shards.zip(values).filter_map(|(shard, v)| Some((shard, v?))).collect());
-        let end = end_of(&reply).unwrap_or(End::Aborted);
+        let end = end_of(&reply).unwrap_or(QueryResult::Aborted);
         let Some(pending) = self.close(now, query, end) else { return };
         pending.span.in_scope(|| debug!(name: "query_ended", reply = ?std::mem::discriminant(&reply)));
         pending.client.answer(reply);
     }
 
     /// Removes a query and releases what it used. Every query ends here.
-    fn close(&mut self, now: Micros, query: QueryId, end: End) -> Option<PendingQuery> {
+    fn close(&mut self, now: Micros, query: QueryId, end: QueryResult) -> Option<PendingQuery> {
         let mut pending = self.pending.remove(&query)?;
         self.ended.push(query);
-        self.counters.end(pending.class_counter, end);
+        self.counters.count_ended(pending.class_counter, end);
         self.limiter.release(std::mem::take(&mut pending.permit));
         if let Some(messages) = &mut self.messages {
             messages.push(Word::Closed { id: pending.request.id.as_ref().to_owned() });
-            let event = KeyEvent::Closed { answered: end == End::Succeeded };
+            let event = KeyEvent::Closed { answered: end == QueryResult::Succeeded };
             let closed = |(key, window): &(IdempotencyKey, Micros)| {
                 key_message(key, Some(*window), event, self.origin)
             };
@@ -482,7 +482,7 @@
         self.ids.remove(&pending.request.id);
         self.shares.release(pending.connection, pending.units());
         if let Some((key, _)) = &pending.key {
-            self.key_register.close(now, key, end == End::Succeeded);
+            self.key_register.close(now, key, end == QueryResult::Succeeded);
         }
         Some(pending)
     }
--- a/crates/broker/src/room/tests.rs
+++ b/crates/broker/src/room/tests.rs
@@ -15,7 +15,7 @@
 use plover_model::query::{PartSpec, QueryRequest, Reply};
 use plover_model::server::{ListScope, NodeState, Outcome, ServerInfo};
 use plover_query::RequestConfig;
-use plover_runtime::clock::{Clock, limited};
+use plover_runtime::clock::{Clock, with_timeout};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
@@ -67,7 +67,7 @@
             dial_timeout: SECOND / 4,
             idle_timeout: 60 * SECOND,
         };
-        let mut upstream = Upstream::new(Rc::default(), Rc::default(), Clock::standing(), limits).unwrap();
+        let mut upstream = Upstream::new(Rc::default(), Rc::default(), Clock::stopped(), limits).unwrap();
         let mut core = Core::new(settings.clone(), 1000, 7).with_names(&names());
         for n in 0..SERVERS {
             upstream.set_endpoint(0, server(n), Some(listener.local_addr().unwrap()));
@@ -345,7 +345,7 @@
         assert_eq!(clients.len(), 50);
         Ok(())
     };
-    async_io::block_on(executor.run(limited(Duration::from_secs(30), work))).unwrap();
+    async_io::block_on(executor.run(with_timeout(Duration::from_secs(30), work))).unwrap();
 }
 
 /// What an answer can be whole without is not held against the query: nothing is left out, and nobody is told.
--- a/crates/broker/src/server_list.rs
+++ b/crates/broker/src/server_list.rs
@@ -30,7 +30,7 @@
         upstream: &mut Upstream,
     ) {
         self.rev = targets.rev;
-        let servers = targets.servers(&self.zones, |ms| self.clock.of_unix_ms(ms));
+        let servers = targets.servers(&self.zones, |ms| self.clock.at_unix_ms(ms));
         if scope != ListScope::Changes {
             let named: BTreeSet<&NodeId> = servers.iter().map(|s| &s.name).collect();
             for name in upstream.serving().iter().filter(|name| !named.contains(name)) {
--- a/crates/broker/src/upstream/connection.rs
+++ b/crates/broker/src/upstream/connection.rs
@@ -8,7 +8,7 @@
 use plover_frames::{self as frame, PartId, PartLine};
 use plover_model::query::AttemptId;
 use plover_model::time::Micros;
-use plover_runtime::clock::{Clock, limited, span};
+use plover_runtime::clock::{Clock, duration, with_timeout};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, VecDeque};
 use std::io::{self, Read, Write};
@@ -461,7 +461,7 @@
     inbox: Rc<Inbox>,
     clock: Clock,
 ) {
-    let error = match limited(Duration::from_micros(dial_timeout), Async::<TcpStream>::connect(endpoint))
+    let error = match with_timeout(Duration::from_micros(dial_timeout), Async::<TcpStream>::connect(endpoint))
         .await
     {
         Ok(stream) => {
@@ -524,7 +524,7 @@
                 if write_deadline == Micros::MAX {
                     stream.writable().await?;
                 } else {
-                    limited(span(left), stream.writable()).await?;
+                    with_timeout(duration(left), stream.writable()).await?;
                 }
                 if clock.now() >= write_deadline {
                     return Err(io::ErrorKind::TimedOut.into());
--- a/crates/broker/src/upstream/tests.rs
+++ b/crates/broker/src/upstream/tests.rs
@@ -10,7 +10,7 @@
 
 fn pool(limits: PoolLimits) -> (Upstream, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut pool = Upstream::new(Rc::default(), Rc::default(), Clock::standing(), limits).unwrap();
+    let mut pool = Upstream::new(Rc::default(), Rc::default(), Clock::stopped(), limits).unwrap();
     pool.set_endpoint(0, server(), Some(listener.local_addr().unwrap()));
     (pool, listener)
 }
@@ -182,7 +182,7 @@
 fn outcomes_after_corrupt(event: ConnectionEvent, sent: usize) -> (Vec<Outcome>, usize) {
     let (mut pool, _listener) = pool(PoolLimits { max_parts_per_call: 4, ..limits() });
     pool.dispatch(0, sends(1, sent));
-    block_on(pool.connections[&0].connection.next_frame(&Clock::standing()));
+    block_on(pool.connections[&0].connection.next_frame(&Clock::stopped()));
     pool.connections[&0].connection.frame_written();
     pool.handle_event(10, 0, event);
     (outcomes(&mut pool, 20), pool.open())
@@ -221,7 +221,7 @@
 fn a_late_answer_to_a_cancelled_attempt_is_ignored() {
     let (mut pool, _listener) = pool(limits());
     pool.dispatch(0, sends(1, 2));
-    block_on(pool.connections[&0].connection.next_frame(&Clock::standing()));
+    block_on(pool.connections[&0].connection.next_frame(&Clock::stopped()));
     pool.connections[&0].connection.frame_written();
     pool.cancel(10, AttemptId { query: 1, part: 0, attempt: 0 });
     pool.handle_event(20, 0, answer("q1.0"));
@@ -235,7 +235,7 @@
 fn a_stalled_frame_closes_its_connection() {
     let (mut pool, _listener) = pool(limits());
     pool.dispatch(0, sends(1, 1));
-    block_on(pool.connections[&0].connection.next_frame(&Clock::standing()));
+    block_on(pool.connections[&0].connection.next_frame(&Clock::stopped()));
     pool.connections[&0].connection.frame_written();
     pool.handle_event(10, 0, ConnectionEvent::PartialFrame);
     assert_eq!(pool.due(), 10 + limits().dial_timeout);
@@ -298,7 +298,7 @@
     assert_eq!(outcomes(&mut pool, SECOND), [Outcome::NoConnection]);
     pool.dispatch(0, sends(2, 2));
     let connection = pool.connections[&0].connection.clone();
-    block_on(connection.next_frame(&Clock::standing()));
+    block_on(connection.next_frame(&Clock::stopped()));
     pool.handle_event(20, 0, broken());
     assert_eq!(outcomes(&mut pool, 30), [Outcome::NoConnection; 2]);
     pool.dispatch(30, sends(3, 1));
@@ -321,7 +321,7 @@
     for answered in [false, true] {
         let (mut pool, _listener) = pool(limits());
         pool.dispatch(0, sends(1, 2));
-        block_on(pool.connections[&0].connection.next_frame(&Clock::standing()));
+        block_on(pool.connections[&0].connection.next_frame(&Clock::stopped()));
         pool.connections[&0].connection.frame_written();
         if answered {
             pool.handle_event(100, 0, answer("q1.1"));
@@ -339,7 +339,7 @@
 fn a_connection_blocked_within_a_frame_closes_with_the_first_cancelled_attempt() {
     let (mut pool, _listener) = pool(limits());
     pool.dispatch(0, sends(1, 2));
-    block_on(pool.connections[&0].connection.next_frame(&Clock::standing()));
+    block_on(pool.connections[&0].connection.next_frame(&Clock::stopped()));
     pool.cancel(SECOND / 2, AttemptId { query: 1, part: 0, attempt: 0 });
     assert_eq!(outcomes(&mut pool, SECOND / 2), [Outcome::Cancelled, Outcome::NoConnection]);
     assert_eq!(pool.open(), 0);
@@ -349,7 +349,7 @@
 fn write_out(pool: &mut Upstream, id: u64) {
     let connection = pool.connections[&id].connection.clone();
     while !connection.unwritten().is_empty() {
-        block_on(connection.next_frame(&Clock::standing()));
+        block_on(connection.next_frame(&Clock::stopped()));
         connection.frame_written();
     }
 }
--- a/crates/control/src/hub.rs
+++ b/crates/control/src/hub.rs
@@ -155,7 +155,7 @@
             }
         }
         Event::List(targets) => {
-            let servers = targets.servers(zones, |ms| clock.of_unix_ms(ms));
+            let servers = targets.servers(zones, |ms| clock.at_unix_ms(ms));
             let servers: Vec<_> =
                 servers.into_iter().zip(targets.targets.iter().map(|t| t.endpoint)).collect();
             let named = servers.len();
--- a/crates/ops/examples/figures_growth.rs
+++ b/crates/ops/examples/figures_growth.rs
@@ -1,23 +1,23 @@
 //! Bytes of a scrape of the figures by classes, with counts of ten digits. It prints JSON lines.
 
-use plover_ops::{Books, Census};
+use plover_ops::{Counters, Gauges};
 
 fn main() {
     for classes in [1, 4, 16, 64, 128] {
-        let mut books = Books::default();
+        let mut counters = Counters::default();
         for n in 0..classes {
-            books.row(&format!("class-{n:06}"));
+            counters.class_counter(&format!("class-{n:06}"));
         }
         let counts = 1_000_000_000;
-        let census = Census {
+        let gauges = Gauges {
             forwards: counts,
             discovered: 7800,
             ejected: 10,
-            applied: 900,
-            rejected: 1,
-            phase: Some(0),
-            short_of_room: None,
+            reloads_applied: 900,
+            reloads_rejected: 1,
+            recovery_phase: Some(0),
+            connection_shortages: None,
         };
-        println!("{{\"classes\": {classes}, \"bytes\": {}}}", books.render(&census).len());
+        println!("{{\"classes\": {classes}, \"bytes\": {}}}", counters.render(&gauges).len());
     }
 }
--- a/crates/ops/src/call.rs
+++ b/crates/ops/src/call.rs
@@ -25,7 +25,7 @@
     /// A call says all in its path.
     Body,
     /// More came on the connection than one call.
-    Second,
+    TrailingData,
 }
 
 impl BadCall {
@@ -34,7 +34,7 @@
         match self {
             BadCall::Path => 404,
             BadCall::Method(_) => 405,
-            BadCall::Body | BadCall::Second => 400,
+            BadCall::Body | BadCall::TrailingData => 400,
         }
     }
 
@@ -44,14 +44,14 @@
     }
 
     /// What is wrong, and what to do about it.
-    pub fn why(self) -> &'static str {
+    pub fn explanation(self) -> &'static str {
         match self {
             BadCall::Path => {
                 "no such call: there are GET /api/ready, GET /api/telemetry, PUT /api/evacuate and PUT /api/rejoin"
             }
             BadCall::Method(_) => "this call has another method, see Allow",
             BadCall::Body => "a call has no body",
-            BadCall::Second => "one call to a connection",
+            BadCall::TrailingData => "one call to a connection",
         }
     }
 }
@@ -73,7 +73,7 @@
         return Err(BadCall::Body);
     }
     if rest > 0 {
-        return Err(BadCall::Second);
+        return Err(BadCall::TrailingData);
     }
     Ok(call)
 }
@@ -103,6 +103,6 @@
             assert_eq!(decode(&request(method, path, ""), 0), expected, "{method} {path}");
         }
         assert_eq!(decode(&request("PUT", "/api/evacuate", "now"), 0), Err(BadCall::Body));
-        assert_eq!(decode(&request("PUT", "/api/evacuate", ""), 3), Err(BadCall::Second));
+        assert_eq!(decode(&request("PUT", "/api/evacuate", ""), 3), Err(BadCall::TrailingData));
     }
 }
--- a/crates/ops/src/life.rs
+++ b/crates/ops/src/life.rs
@@ -11,7 +11,7 @@
 //!
 //! `Staying` is for brokers whose clients may have nowhere else to go, as while another one restarts: fronts send nobody
 //! new, but connections that are there stay open and are served, for as long as what comes on them can still be answered
-//! before the platform ends the process ([`Ending`]). Emptied before, or with a newer process beside, it is left out.
+//! before the platform ends the process ([`ShutdownTimes`]). Emptied before, or with a newer process beside, it is left out.
 //!
 //! In `Closing` and `Leaving` whatever still comes is served, on new connections too: fronts notice late. After that the
 //! connections that are idle are closed; those with a request end with its answer. In `Parting` new ones are taken still: a
@@ -21,10 +21,10 @@
 
 /// After the word to go, connections are taken and kept for this long as if nothing were: fronts ask every 100 ms, and
 /// send new connections for up to 400 ms more.
-pub const DOORS: Micros = 600_000;
+pub const DRAIN_TIME: Micros = 600_000;
 
 /// After the word to end, idle connections are kept for this long of that time.
-pub const IDLE: Micros = 450_000;
+pub const IDLE_TIME: Micros = 450_000;
 
 /// After SIGTERM the platform leaves a process the longest deadline of its clients, or this where that is longer, and as
 /// much again as the second.
@@ -36,21 +36,25 @@
 
 /// How a process ends, in spans from SIGTERM on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ending {
+pub struct ShutdownTimes {
     /// Connections are kept for so long.
-    pub stay: Micros,
+    pub grace_period: Micros,
     /// What has come is answered by then.
-    pub answer: Micros,
+    pub answer_by: Micros,
     /// The platform may end the process from then on.
-    pub end: Micros,
+    pub kill_at: Micros,
 }
 
-impl Ending {
+impl ShutdownTimes {
     /// For clients that wait so long at the most.
-    pub fn of(longest: Micros) -> Ending {
+    pub fn for_client_timeout(longest: Micros) -> ShutdownTimes {
         let killed = longest.min(PATIENCE.0) + PATIENCE.1;
         let answer = killed.saturating_sub(LAST);
-        Ending { stay: answer.saturating_sub(DOORS + LAST_REQUEST), answer, end: killed }
+        ShutdownTimes {
+            grace_period: answer.saturating_sub(DRAIN_TIME + LAST_REQUEST),
+            answer_by: answer,
+            kill_at: killed,
+        }
     }
 }
 
@@ -60,11 +64,11 @@
     /// It serves, and connections stay open.
     Serving,
     /// It is no longer ready, but serves what still comes, and connections stay open.
-    Staying,
+    GracePeriod,
     /// It is no longer ready, but serves what still comes; each answer ends its connection.
-    Leaving,
+    Draining,
     /// The same, and no connection is kept idle.
-    Empty,
+    CloseIdle,
     /// It takes no new connections, and closes each once it is idle.
     Closing,
 }
@@ -75,24 +79,24 @@
     /// It serves.
     Serving,
     /// It is being emptied, since then.
-    Closing(Micros),
+    Evacuating(Micros),
     /// It has been emptied: it waits for `rejoin`.
-    Empty,
+    Evacuated,
     /// It is to end; connections stay until then.
-    Staying(Micros),
+    GracePeriod(Micros),
     /// It is to end, since then.
-    Leaving(Micros),
+    Draining(Micros),
     /// The same, and no idle connection is kept any more.
-    Parting(Micros),
+    ClosingIdle(Micros),
     /// It takes nothing new, and ends once all is answered.
-    Gone,
+    Closed,
 }
 
 /// What a transition asks of the fronts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Go by this stage.
-    Go(Stage),
+    Enter(Stage),
     /// Nothing: it is so already.
     None,
 }
@@ -109,16 +113,16 @@
 
     /// Whether it is to end.
     pub fn is_ending(self) -> bool {
-        matches!(self, Life::Staying(_) | Life::Leaving(_) | Life::Parting(_) | Life::Gone)
+        matches!(self, Life::GracePeriod(_) | Life::Draining(_) | Life::ClosingIdle(_) | Life::Closed)
     }
 
     /// What it is called, to an operator.
     pub fn name(self) -> &'static str {
         match self {
             Life::Serving => "serving",
-            Life::Closing(_) => "closing",
-            Life::Empty => "empty",
-            Life::Staying(_) | Life::Leaving(_) | Life::Parting(_) | Life::Gone => "leaving",
+            Life::Evacuating(_) => "closing",
+            Life::Evacuated => "empty",
+            Life::GracePeriod(_) | Life::Draining(_) | Life::ClosingIdle(_) | Life::Closed => "leaving",
         }
     }
 
@@ -126,11 +130,11 @@
     pub fn evacuate(&mut self, now: Micros) -> Result<Effect, Refused> {
         match self {
             Life::Serving => {
-                *self = Life::Closing(now);
-                Ok(Effect::Go(Stage::Leaving))
+                *self = Life::Evacuating(now);
+                Ok(Effect::Enter(Stage::Draining))
             }
-            Life::Closing(_) | Life::Empty => Ok(Effect::None),
-            Life::Staying(_) | Life::Leaving(_) | Life::Parting(_) | Life::Gone => Err(Refused),
+            Life::Evacuating(_) | Life::Evacuated => Ok(Effect::None),
+            Life::GracePeriod(_) | Life::Draining(_) | Life::ClosingIdle(_) | Life::Closed => Err(Refused),
         }
     }
 
@@ -138,11 +142,11 @@
     pub fn rejoin(&mut self) -> Result<Effect, Refused> {
         match self {
             Life::Serving => Ok(Effect::None),
-            Life::Closing(_) | Life::Empty => {
+            Life::Evacuating(_) | Life::Evacuated => {
                 *self = Life::Serving;
-                Ok(Effect::Go(Stage::Serving))
+                Ok(Effect::Enter(Stage::Serving))
             }
-            Life::Staying(_) | Life::Leaving(_) | Life::Parting(_) | Life::Gone => Err(Refused),
+            Life::GracePeriod(_) | Life::Draining(_) | Life::ClosingIdle(_) | Life::Closed => Err(Refused),
         }
     }
 
@@ -153,24 +157,24 @@
             return Effect::None;
         }
         match before {
-            Life::Empty => {
-                *self = Life::Parting(now);
-                Effect::Go(Stage::Empty)
+            Life::Evacuated => {
+                *self = Life::ClosingIdle(now);
+                Effect::Enter(Stage::CloseIdle)
             }
             Life::Serving if stay > 0 => {
-                *self = Life::Staying(now + stay);
-                Effect::Go(Stage::Staying)
+                *self = Life::GracePeriod(now + stay);
+                Effect::Enter(Stage::GracePeriod)
             }
             _ => {
-                *self = Life::Leaving(now);
-                Effect::Go(Stage::Leaving)
+                *self = Life::Draining(now);
+                Effect::Enter(Stage::Draining)
             }
         }
     }
 
     /// A newer process takes the clients: this one need not stay for them.
     pub fn superseded(&mut self, now: Micros) {
-        if let Life::Staying(until) = self {
+        if let Life::GracePeriod(until) = self {
             *until = now.min(*until);
         }
     }
@@ -181,24 +185,24 @@
             return Effect::None;
         }
         match self {
-            Life::Closing(_) => {
-                *self = Life::Empty;
-                Effect::Go(Stage::Empty)
+            Life::Evacuating(_) => {
+                *self = Life::Evacuated;
+                Effect::Enter(Stage::CloseIdle)
             }
-            Life::Staying(until) => {
-                *self = Life::Leaving(*until);
+            Life::GracePeriod(until) => {
+                *self = Life::Draining(*until);
                 match self.tick(now) {
-                    Effect::None => Effect::Go(Stage::Leaving),
+                    Effect::None => Effect::Enter(Stage::Draining),
                     later => later,
                 }
             }
-            Life::Leaving(since) if now < *since + DOORS => {
-                *self = Life::Parting(*since);
-                Effect::Go(Stage::Empty)
+            Life::Draining(since) if now < *since + DRAIN_TIME => {
+                *self = Life::ClosingIdle(*since);
+                Effect::Enter(Stage::CloseIdle)
             }
             _ => {
-                *self = Life::Gone;
-                Effect::Go(Stage::Closing)
+                *self = Life::Closed;
+                Effect::Enter(Stage::Closing)
             }
         }
     }
@@ -206,10 +210,10 @@
     /// When [`Life::tick`] is due, if ever.
     pub fn due(self) -> Option<Micros> {
         match self {
-            Life::Staying(until) => Some(until),
-            Life::Leaving(since) => Some(since + IDLE),
-            Life::Closing(since) | Life::Parting(since) => Some(since + DOORS),
-            Life::Serving | Life::Empty | Life::Gone => None,
+            Life::GracePeriod(until) => Some(until),
+            Life::Draining(since) => Some(since + IDLE_TIME),
+            Life::Evacuating(since) | Life::ClosingIdle(since) => Some(since + DRAIN_TIME),
+            Life::Serving | Life::Evacuated | Life::Closed => None,
         }
     }
 }
@@ -222,37 +226,40 @@
     #[test]
     fn evacuate_twice_is_evacuate_once() {
         let mut life = Life::Serving;
-        assert_eq!(life.evacuate(5), Ok(Effect::Go(Stage::Leaving)));
+        assert_eq!(life.evacuate(5), Ok(Effect::Enter(Stage::Draining)));
         assert_eq!(life.evacuate(400_000), Ok(Effect::None));
-        assert_eq!((life.tick(DOORS + 4), life.tick(DOORS + 5)), (Effect::None, Effect::Go(Stage::Empty)));
-        assert_eq!((life.evacuate(DOORS + 6), life), (Ok(Effect::None), Life::Empty));
+        assert_eq!(
+            (life.tick(DRAIN_TIME + 4), life.tick(DRAIN_TIME + 5)),
+            (Effect::None, Effect::Enter(Stage::CloseIdle))
+        );
+        assert_eq!((life.evacuate(DRAIN_TIME + 6), life), (Ok(Effect::None), Life::Evacuated));
         assert!(!life.is_ready() && !life.is_ending() && life.due().is_none());
     }
 
     #[test]
     fn rejoin_brings_it_back_from_the_middle_of_closing_and_from_empty() {
-        for wait in [DOORS / 2, DOORS] {
+        for wait in [DRAIN_TIME / 2, DRAIN_TIME] {
             let mut life = Life::Serving;
             let _ = life.evacuate(0);
             life.tick(wait);
-            assert_eq!(life.rejoin(), Ok(Effect::Go(Stage::Serving)));
+            assert_eq!(life.rejoin(), Ok(Effect::Enter(Stage::Serving)));
             assert!(life.is_ready());
             // The time of the first emptying must not run on into this.
-            assert_eq!((life.tick(2 * DOORS), life.rejoin()), (Effect::None, Ok(Effect::None)));
+            assert_eq!((life.tick(2 * DRAIN_TIME), life.rejoin()), (Effect::None, Ok(Effect::None)));
         }
     }
 
     #[test]
     fn nothing_brings_it_back_once_it_is_to_end() {
-        let mut life = Life::Empty;
-        assert_eq!(life.terminate(7, 0), Effect::Go(Stage::Empty));
+        let mut life = Life::Evacuated;
+        assert_eq!(life.terminate(7, 0), Effect::Enter(Stage::CloseIdle));
         assert_eq!(
             (life.rejoin(), life.evacuate(8), life.terminate(9, 0)),
             (Err(Refused), Err(Refused), Effect::None)
         );
-        assert_eq!(life.due(), Some(7 + DOORS), "a second SIGTERM begins nothing anew");
-        assert_eq!(life.tick(7 + DOORS), Effect::Go(Stage::Closing));
-        assert_eq!((life, life.rejoin()), (Life::Gone, Err(Refused)));
+        assert_eq!(life.due(), Some(7 + DRAIN_TIME), "a second SIGTERM begins nothing anew");
+        assert_eq!(life.tick(7 + DRAIN_TIME), Effect::Enter(Stage::Closing));
+        assert_eq!((life, life.rejoin()), (Life::Closed, Err(Refused)));
     }
 
     /// A request that crosses the closing of an idle connection finds the doors open.
@@ -260,27 +267,33 @@
     fn idle_connections_go_before_the_doors_close() {
         let mut life = Life::Serving;
         life.terminate(0, 0);
-        assert_eq!((life.due(), life.tick(IDLE - 1)), (Some(IDLE), Effect::None));
-        assert_eq!((life.tick(IDLE), life.due()), (Effect::Go(Stage::Empty), Some(DOORS)));
-        assert!(life.is_ending() && life.terminate(IDLE, 0) == Effect::None);
-        assert_eq!(life.tick(DOORS), Effect::Go(Stage::Closing));
+        assert_eq!((life.due(), life.tick(IDLE_TIME - 1)), (Some(IDLE_TIME), Effect::None));
+        assert_eq!((life.tick(IDLE_TIME), life.due()), (Effect::Enter(Stage::CloseIdle), Some(DRAIN_TIME)));
+        assert!(life.is_ending() && life.terminate(IDLE_TIME, 0) == Effect::None);
+        assert_eq!(life.tick(DRAIN_TIME), Effect::Enter(Stage::Closing));
     }
 
     /// What comes on a connection that stays has its time before the process is ended, however long clients wait.
     #[test]
     fn whoever_stays_can_still_be_answered() {
         for longest in [0, 100_000, 900_000, 1_500_000, 4_000_000, 7_500_000] {
-            let ending = Ending::of(longest);
+            let ending = ShutdownTimes::for_client_timeout(longest);
             let killed = longest.min(3_000_000) + 700_000;
-            assert!(ending.answer < killed, "{longest}");
-            assert!(ending.stay == 0 || ending.stay + DOORS < ending.answer, "{longest}");
+            assert!(ending.answer_by < killed, "{longest}");
+            assert!(
+                ending.grace_period == 0 || ending.grace_period + DRAIN_TIME < ending.answer_by,
+                "{longest}"
+            );
         }
-        assert_eq!(Ending::of(7_500_000), Ending { stay: 2_500_000, answer: 3_450_000, end: 3_700_000 });
+        assert_eq!(
+            ShutdownTimes::for_client_timeout(7_500_000),
+            ShutdownTimes { grace_period: 2_500_000, answer_by: 3_450_000, kill_at: 3_700_000 }
+        );
         let mut life = Life::Serving;
-        assert_eq!(life.terminate(5, 100), Effect::Go(Stage::Staying));
+        assert_eq!(life.terminate(5, 100), Effect::Enter(Stage::GracePeriod));
         assert!(!life.is_ready() && life.is_ending() && life.due() == Some(105));
-        assert_eq!((life.tick(104), life.tick(105)), (Effect::None, Effect::Go(Stage::Leaving)));
-        assert_eq!(life.due(), Some(105 + IDLE));
+        assert_eq!((life.tick(104), life.tick(105)), (Effect::None, Effect::Enter(Stage::Draining)));
+        assert_eq!(life.due(), Some(105 + IDLE_TIME));
     }
 
     #[test]
@@ -288,17 +301,17 @@
         let mut life = Life::Serving;
         life.terminate(0, 1000);
         life.superseded(400);
-        assert_eq!((life.due(), life.tick(400)), (Some(400), Effect::Go(Stage::Leaving)));
+        assert_eq!((life.due(), life.tick(400)), (Some(400), Effect::Enter(Stage::Draining)));
         let mut emptied = Life::Serving;
         emptied.evacuate(0).unwrap();
-        assert_eq!(emptied.terminate(5, 1000), Effect::Go(Stage::Leaving));
+        assert_eq!(emptied.terminate(5, 1000), Effect::Enter(Stage::Draining));
     }
 
     proptest! {
         /// Whatever comes in whatever order: it is ready in one state alone, an end is final, and the doors close in
         /// their time after the word that began it.
         #[test]
-        fn every_order_of_calls(moves in prop::collection::vec((0u8..4, 0..DOORS), 1..60)) {
+        fn every_order_of_calls(moves in prop::collection::vec((0u8..4, 0..DRAIN_TIME), 1..60)) {
             let (mut life, mut now, mut ended) = (Life::Serving, 0, false);
             for (what, wait) in moves {
                 now += wait;
--- a/crates/ploverport/src/serve.rs
+++ b/crates/ploverport/src/serve.rs
@@ -26,7 +26,7 @@
 ) -> ExitCode {
     plover_telemetry::init(plover_telemetry::Format::Logfmt, Level::INFO);
     // Before anything is opened: what is open now was handed in.
-    let (limit, open) = (descriptors::limit(), descriptors::open());
+    let (limit, open) = (descriptors::limit(), descriptors::open_count());
     let signals = match broker::signals() {
         Ok(signals) => signals,
         Err(error) => return cannot_start(&error),
--- a/crates/runtime/src/descriptors.rs
+++ b/crates/runtime/src/descriptors.rs
@@ -8,7 +8,7 @@
 }
 
 /// How many are open; `None`: the system does not tell.
-pub fn open() -> Option<u64> {
+pub fn open_count() -> Option<u64> {
     let entries = std::fs::read_dir("/proc/self/fd").ok()?;
     // One of them is that of the reading.
     Some((entries.count() as u64).saturating_sub(1))
--- a/crates/runtime/src/net.rs
+++ b/crates/runtime/src/net.rs
@@ -12,7 +12,7 @@
 use std::task::ready;
 use std::time::Duration;
 
-use crate::clock::limited;
+use crate::clock::with_timeout;
 
 /// A connection that the broker ends is read on for this long, so that its last answer is not lost by a reset
 /// (RFC 9112, section 9.6).
@@ -57,17 +57,17 @@
 
 /// Lets no further connection begin, before a listener of ours alone is dropped: the system would reset those that come up
 /// after the last one was accepted. Handshakes that have begun are completed, so that the listener is accepted from for
-/// [`HANDSHAKE`] more.
+/// [`HANDSHAKE_TIME`] more.
 ///
 /// Linux alone has this filter. Elsewhere, or where the system refuses it, connections go on coming up until the listener is
 /// dropped, and those that were not accepted are reset then.
-pub fn shut(listener: &Async<TcpListener>) {
+pub fn refuse_new_connections(listener: &Async<TcpListener>) {
     let _ = SockRef::from(listener.get_ref()).attach_filter(&NO_SYN);
 }
 
 /// A handshake that has begun is over, on a sound network, within this time. Who connects in it is refused only as its system
 /// tries again, a second later, so that it is short.
-pub const HANDSHAKE: Duration = Duration::from_millis(1);
+pub const HANDSHAKE_TIME: Duration = Duration::from_millis(1);
 
 /// A classic BPF program over a segment's TCP header that drops those which begin a connection. To drop others too would drop
 /// the last segment of a handshake, and what its client has sent behind it: the client takes itself for connected.
@@ -118,5 +118,5 @@
         }
         Ok(())
     };
-    limited(time.min(LINGER), drain).await
+    with_timeout(time.min(LINGER), drain).await
 }
--- a/crates/runtime/tests/shut.rs
+++ b/crates/runtime/tests/shut.rs
@@ -1,6 +1,6 @@
 //! What a listener that is about to be dropped lets through.
 
-use plover_runtime::net::{listen, shut};
+use plover_runtime::net::{listen, refuse_new_connections};
 use socket2::{Domain, SockFilter, Socket, Type};
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -20,7 +20,7 @@
         let listener = listen(([127, 0, 0, 1], 0).into(), false).unwrap();
         let at = listener.get_ref().local_addr().unwrap();
         let mut client = TcpStream::connect(at).unwrap();
-        shut(&listener);
+        refuse_new_connections(&listener);
         let late = std::thread::spawn(move || TcpStream::connect(at));
         let (taken, _) = listener.get_ref().accept().unwrap();
         taken.set_nonblocking(false).unwrap();
@@ -54,7 +54,7 @@
             assert!(begun.elapsed() < BOUND, "no handshake has begun");
             std::thread::yield_now();
         }
-        shut(&listener);
+        refuse_new_connections(&listener);
         client.detach_filter().unwrap();
         let mut taken = loop {
             match listener.get_ref().accept() {
--- a/crates/scale/src/bin/scale.rs
+++ b/crates/scale/src/bin/scale.rs
@@ -161,7 +161,7 @@
 /// Serves as `ploverport serve` does without an operator's file.
 fn broker() -> io::Result<()> {
     plover_telemetry::init(plover_telemetry::Format::Logfmt, tracing::Level::INFO);
-    let (limit, open) = (descriptors::limit(), descriptors::open());
+    let (limit, open) = (descriptors::limit(), descriptors::open_count());
     let signals = plover_broker::run::signals()?;
     let config = plover_config::read(plover_config::environment).map_err(io::Error::other)?;
     let operator = Operator::load(None, Some(platform(&config))).map_err(io::Error::other)?;
