--- a/crates/ops/examples/figures_growth.rs
+++ b/crates/ops/examples/figures_growth.rs
@@ -1,4 +1,5 @@
-//! Bytes of a scrape of the figures by classes, with counts of ten digits. It prints JSON lines.
+//! Prints the size of a metrics response in bytes for several numbers of classes, as JSON lines. The gauge
+//! `forwards` has ten digits.
 
 use plover_ops::{Counters, Gauges};
 
--- a/crates/ops/src/call.rs
+++ b/crates/ops/src/call.rs
@@ -1,35 +1,35 @@
-//! A request at the operators' door.
+//! Decodes requests to the admin listener.
 
 use http::{Method, Request};
 
-/// What an operator asks for.
+/// An operator's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// `GET /api/ready`: whether this process takes clients.
+    /// `GET /api/ready`: whether this process is ready for clients.
     Ready,
-    /// `GET /api/telemetry`: the figures.
+    /// `GET /api/telemetry`: returns the metrics.
     Telemetry,
-    /// `PUT /api/evacuate`: empty the broker.
+    /// `PUT /api/evacuate`: drain the client connections but keep the process running.
     Evacuate,
-    /// `PUT /api/rejoin`: back to work.
+    /// `PUT /api/rejoin`: serve clients again after `evacuate`.
     Rejoin,
 }
 
-/// A request that is no call.
+/// Why a request to the admin listener is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BadCall {
-    /// No call has this path.
+    /// The path is unknown.
     Path,
-    /// The path's call has another method.
+    /// The path does not support the request's method; holds the supported methods for the header `Allow`.
     Method(&'static str),
-    /// A call says all in its path.
+    /// The request has a body, which no call takes.
     Body,
-    /// More came on the connection than one call.
+    /// The connection carried more bytes after the request; only one call is allowed per connection.
     TrailingData,
 }
 
 impl BadCall {
-    /// The status of its answer (RFC 9110, section 15.5).
+    /// Returns the HTTP status of the response (RFC 9110, section 15.5).
     pub fn status(self) -> u16 {
         match self {
             BadCall::Path => 404,
@@ -38,12 +38,13 @@
         }
     }
 
-    /// The methods that are allowed instead, for the field `Allow`; empty where that is not what is wrong.
+    /// Returns the value of the header `Allow` for an unsupported method, or an empty string for another
+    /// error.
     pub fn allow(self) -> &'static str {
         if let BadCall::Method(allow) = self { allow } else { "" }
     }
 
-    /// What is wrong, and what to do about it.
+    /// Returns the body of the response, which states the error.
     pub fn explanation(self) -> &'static str {
         match self {
             BadCall::Path => {
@@ -56,8 +57,9 @@
     }
 }
 
-/// Reads a whole request; `rest` is how much more has come on its connection already.
-pub fn decode(request: &Request<Vec<u8>>, rest: usize) -> Result<Call, BadCall> {
+/// Decodes a complete request; `trailing_bytes` is the number of bytes already received after it on its
+/// connection.
+pub fn decode(request: &Request<Vec<u8>>, trailing_bytes: usize) -> Result<Call, BadCall> {
     let (call, method, allow) = match request.uri().path() {
         "/api/ready" => (Call::Ready, Method::GET, "GET, HEAD"),
         "/api/telemetry" => (Call::Telemetry, Method::GET, "GET, HEAD"),
@@ -65,14 +67,14 @@
         "/api/rejoin" => (Call::Rejoin, Method::PUT, "PUT"),
         _ => return Err(BadCall::Path),
     };
-    let head = request.method() == Method::HEAD && method == Method::GET;
-    if request.method() != method && !head {
+    let is_head_for_get = request.method() == Method::HEAD && method == Method::GET;
+    if request.method() != method && !is_head_for_get {
         return Err(BadCall::Method(allow));
     }
     if !request.body().is_empty() {
         return Err(BadCall::Body);
     }
-    if rest > 0 {
+    if trailing_bytes > 0 {
         return Err(BadCall::TrailingData);
     }
     Ok(call)
@@ -87,7 +89,7 @@
     }
 
     #[test]
-    fn only_calls_are_calls() {
+    fn decodes_calls_and_rejects_other_requests() {
         for (method, path, expected) in [
             ("GET", "/api/ready", Ok(Call::Ready)),
             ("HEAD", "/api/ready", Ok(Call::Ready)),
--- a/crates/ops/src/lib.rs
+++ b/crates/ops/src/lib.rs
@@ -1,8 +1,8 @@
-//! What operators ask of a running broker, without I/O or clock.
+//! The operators' interface to a running broker, without I/O or a clock.
 //!
-//! [`Call`] is a request at the operators' door as a typed value. [`Counters`] are the figures, kept by whoever ends a query.
-//! [`Life`] is where the program is in its life, with every transition in one place: SIGTERM, `evacuate` and a hand-over to
-//! another process all go through it.
+//! [`Call`] is a decoded request to the admin listener. [`Counters`] counts accepted and ended queries and
+//! renders the metrics. [`Life`] is the state machine of the process: SIGTERM, `evacuate`, `rejoin` and a
+//! handover to another process all change its state through the methods of [`Life`].
 
 mod call;
 mod life;
--- a/crates/ops/src/life.rs
+++ b/crates/ops/src/life.rs
@@ -1,122 +1,130 @@
-//! Where the program is in its life.
+//! The state machine of the process.
 //!
 //! ```text
-//!             evacuate                doors' time over
-//!  Serving ─────────────► Closing ─────────────────────► Empty
-//!     ▲                      │                             │
-//!     └──────── rejoin ──────┴──────────── rejoin ─────────┘
+//!             evacuate                   DRAIN_TIME over
+//!  Serving ─────────────► Evacuating ─────────────────────► Evacuated
+//!     ▲                       │                                 │
+//!     └──────── rejoin ───────┴───────────── rejoin ────────────┘
 //!
-//!  any of them ── SIGTERM ──► Staying ── its time over ──► Leaving ── idle ones' time over ──► Parting ── doors' ──► Gone
+//!  SIGTERM ──► GracePeriod ── time over ──► Draining ── IDLE_TIME over ──► ClosingIdle ── DRAIN_TIME over ──► Closed
 //! ```
 //!
-//! `Staying` is for brokers whose clients may have nowhere else to go, as while another one restarts: fronts send nobody
-//! new, but connections that are there stay open and are served, for as long as what comes on them can still be answered
-//! before the platform ends the process ([`ShutdownTimes`]). Emptied before, or with a newer process beside, it is left out.
+//! SIGTERM is possible in the first three states. From `Evacuating` it leads to `Draining`, and from
+//! `Evacuated` to `ClosingIdle`.
 //!
-//! In `Closing` and `Leaving` whatever still comes is served, on new connections too: fronts notice late. After that the
-//! connections that are idle are closed; those with a request end with its answer. In `Parting` new ones are taken still: a
-//! request that crosses the closing of an idle connection comes again on a new one.
+//! `GracePeriod` is for brokers whose clients may have no other broker, for example while another one
+//! restarts. The process is no longer ready, so load balancers send no new clients, but existing connections
+//! stay open and are served for as long as their requests can still be answered before the platform kills the
+//! process ([`ShutdownTimes`]). The grace period is skipped if the process was evacuated before, or if a
+//! newer process accepts at the same socket.
+//!
+//! In `Evacuating` and `Draining` all requests are still served, also on new connections, because load
+//! balancers notice late that the process is not ready. After that, idle connections are closed, and a
+//! connection with a request is closed after the answer. In `ClosingIdle` new connections are still accepted:
+//! a client whose request crossed the closing of an idle connection sends it again on a new one.
 
 use plover_model::time::Micros;
 
-/// After the word to go, connections are taken and kept for this long as if nothing were: fronts ask every 100 ms, and
-/// send new connections for up to 400 ms more.
+/// Time in microseconds for which new connections are still accepted after the drain has begun. Load
+/// balancers check readiness every 100 ms, and send new connections for up to 400 ms more.
 pub const DRAIN_TIME: Micros = 600_000;
 
-/// After the word to end, idle connections are kept for this long of that time.
+/// Time in microseconds for which idle connections are kept open after a drain that ends the process has
+/// begun; part of [`DRAIN_TIME`].
 pub const IDLE_TIME: Micros = 450_000;
 
-/// After SIGTERM the platform leaves a process the longest deadline of its clients, or this where that is longer, and as
-/// much again as the second.
-const PATIENCE: (Micros, Micros) = (3_000_000, 700_000);
-/// The last answer is out so long before the process may be ended.
-const LAST: Micros = 250_000;
-/// A request that comes as the doors close has so long for its answer: many times what one takes.
-const LAST_REQUEST: Micros = 350_000;
+/// Time in microseconds from SIGTERM until the platform kills the process: the longest timeout of its
+/// clients, limited to the first value, plus the second value.
+const KILL_TIMEOUT: (Micros, Micros) = (3_000_000, 700_000);
+/// Time in microseconds between the last answer and the moment at which the platform may kill the process.
+const ANSWER_MARGIN: Micros = 250_000;
+/// Time in microseconds for the answer to a request that arrives as the listeners close; many times the usual
+/// time of an answer.
+const LAST_REQUEST_TIME: Micros = 350_000;
 
-/// How a process ends, in spans from SIGTERM on.
+/// Times of a shutdown, in microseconds from SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownTimes {
-    /// Connections are kept for so long.
+    /// Time for which existing connections are kept open before the drain begins.
     pub grace_period: Micros,
-    /// What has come is answered by then.
+    /// Time by which all received requests are answered.
     pub answer_by: Micros,
-    /// The platform may end the process from then on.
+    /// Time from which the platform may kill the process.
     pub kill_at: Micros,
 }
 
 impl ShutdownTimes {
-    /// For clients that wait so long at the most.
-    pub fn for_client_timeout(longest: Micros) -> ShutdownTimes {
-        let killed = longest.min(PATIENCE.0) + PATIENCE.1;
-        let answer = killed.saturating_sub(LAST);
+    /// Returns the times for clients that wait for an answer for at most `max_client_timeout`.
+    pub fn for_client_timeout(max_client_timeout: Micros) -> ShutdownTimes {
+        let kill_at = max_client_timeout.min(KILL_TIMEOUT.0) + KILL_TIMEOUT.1;
+        let answer_by = kill_at.saturating_sub(ANSWER_MARGIN);
         ShutdownTimes {
-            grace_period: answer.saturating_sub(DRAIN_TIME + LAST_REQUEST),
-            answer_by: answer,
-            kill_at: killed,
+            grace_period: answer_by.saturating_sub(DRAIN_TIME + LAST_REQUEST_TIME),
+            answer_by,
+            kill_at,
         }
     }
 }
 
-/// What the fronts go by.
+/// How the fronts treat client connections. The order of the variants is that of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// It serves, and connections stay open.
+    /// Requests are served, and connections stay open.
     Serving,
-    /// It is no longer ready, but serves what still comes, and connections stay open.
+    /// The process is not ready, but requests are served and connections stay open.
     GracePeriod,
-    /// It is no longer ready, but serves what still comes; each answer ends its connection.
+    /// The process is not ready. Requests are served, and each connection is closed after its answer.
     Draining,
-    /// The same, and no connection is kept idle.
+    /// As [`Stage::Draining`], and idle connections are closed.
     CloseIdle,
-    /// It takes no new connections, and closes each once it is idle.
+    /// No new connections are accepted, and each connection is closed once it is idle.
     Closing,
 }
 
-/// Where the program is.
+/// State of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Life {
-    /// It serves.
+    /// The process serves clients.
     Serving,
-    /// It is being emptied, since then.
+    /// `evacuate` was called at this time; the client connections are being drained.
     Evacuating(Micros),
-    /// It has been emptied: it waits for `rejoin`.
+    /// The connections were drained after `evacuate`; the process waits for `rejoin`.
     Evacuated,
-    /// It is to end; connections stay until then.
+    /// The process was terminated; connections stay open until this time.
     GracePeriod(Micros),
-    /// It is to end, since then.
+    /// The process was terminated, and the connections are being drained since this time.
     Draining(Micros),
-    /// The same, and no idle connection is kept any more.
+    /// As [`Life::Draining`], begun at this time, and idle connections are closed.
     ClosingIdle(Micros),
-    /// It takes nothing new, and ends once all is answered.
+    /// The process accepts no new connections, and exits once all requests are answered.
     Closed,
 }
 
-/// What a transition asks of the fronts.
+/// What the fronts have to do after a change of [`Life`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Go by this stage.
+    /// Enter this stage.
     Enter(Stage),
-    /// Nothing: it is so already.
+    /// Nothing, because the stage has not changed.
     None,
 }
 
-/// A call that cannot be heeded any more.
+/// Error of a call that came after the process was terminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused;
 
 impl Life {
-    /// Whether it takes clients.
+    /// Returns whether the process is ready for clients.
     pub fn is_ready(self) -> bool {
         self == Life::Serving
     }
 
-    /// Whether it is to end.
+    /// Returns whether the process was terminated.
     pub fn is_ending(self) -> bool {
         matches!(self, Life::GracePeriod(_) | Life::Draining(_) | Life::ClosingIdle(_) | Life::Closed)
     }
 
-    /// What it is called, to an operator.
+    /// Returns the name of the state that operators see.
     pub fn name(self) -> &'static str {
         match self {
             Life::Serving => "serving",
@@ -126,7 +134,7 @@
         }
     }
 
-    /// `evacuate`. A second one changes nothing, and does not begin the doors' time anew.
+    /// Handles `evacuate`. A second call changes nothing and does not restart the drain time.
     pub fn evacuate(&mut self, now: Micros) -> Result<Effect, Refused> {
         match self {
             Life::Serving => {
@@ -138,7 +146,7 @@
         }
     }
 
-    /// `rejoin`, from wherever the emptying has come to.
+    /// Handles `rejoin`, during and after an evacuation.
     pub fn rejoin(&mut self) -> Result<Effect, Refused> {
         match self {
             Life::Serving => Ok(Effect::None),
@@ -150,8 +158,9 @@
         }
     }
 
-    /// SIGTERM, with so long to stay. One that is empty, or being emptied, goes on with that.
-    pub fn terminate(&mut self, now: Micros, stay: Micros) -> Effect {
+    /// Handles SIGTERM; `grace_period` is the time for which a serving process keeps its connections open. A
+    /// process that is evacuating or evacuated skips the grace period.
+    pub fn terminate(&mut self, now: Micros, grace_period: Micros) -> Effect {
         let before = *self;
         if before.is_ending() {
             return Effect::None;
@@ -161,8 +170,8 @@
                 *self = Life::ClosingIdle(now);
                 Effect::Enter(Stage::CloseIdle)
             }
-            Life::Serving if stay > 0 => {
-                *self = Life::GracePeriod(now + stay);
+            Life::Serving if grace_period > 0 => {
+                *self = Life::GracePeriod(now + grace_period);
                 Effect::Enter(Stage::GracePeriod)
             }
             _ => {
@@ -172,14 +181,14 @@
         }
     }
 
-    /// A newer process takes the clients: this one need not stay for them.
+    /// Ends the grace period, because a newer process now accepts the clients.
     pub fn superseded(&mut self, now: Micros) {
         if let Life::GracePeriod(until) = self {
             *until = now.min(*until);
         }
     }
 
-    /// Moves on with time.
+    /// Makes the transition that is due by now, if any.
     pub fn tick(&mut self, now: Micros) -> Effect {
         if self.due().is_none_or(|due| now < due) {
             return Effect::None;
@@ -207,7 +216,8 @@
         }
     }
 
-    /// When [`Life::tick`] is due, if ever.
+    /// Returns the time at which [`Life::tick`] makes the next transition; `None` if no transition depends on
+    /// time.
     pub fn due(self) -> Option<Micros> {
         match self {
             Life::GracePeriod(until) => Some(until),
@@ -224,7 +234,7 @@
     use proptest::prelude::*;
 
     #[test]
-    fn evacuate_twice_is_evacuate_once() {
+    fn a_second_evacuate_does_not_restart_the_drain_time() {
         let mut life = Life::Serving;
         assert_eq!(life.evacuate(5), Ok(Effect::Enter(Stage::Draining)));
         assert_eq!(life.evacuate(400_000), Ok(Effect::None));
@@ -237,34 +247,35 @@
     }
 
     #[test]
-    fn rejoin_brings_it_back_from_the_middle_of_closing_and_from_empty() {
+    fn rejoin_serves_again_during_and_after_an_evacuation() {
         for wait in [DRAIN_TIME / 2, DRAIN_TIME] {
             let mut life = Life::Serving;
             let _ = life.evacuate(0);
             life.tick(wait);
             assert_eq!(life.rejoin(), Ok(Effect::Enter(Stage::Serving)));
             assert!(life.is_ready());
-            // The time of the first emptying must not run on into this.
+            // The drain time of the evacuation must not end the service after `rejoin`.
             assert_eq!((life.tick(2 * DRAIN_TIME), life.rejoin()), (Effect::None, Ok(Effect::None)));
         }
     }
 
     #[test]
-    fn nothing_brings_it_back_once_it_is_to_end() {
+    fn a_terminated_process_refuses_calls() {
         let mut life = Life::Evacuated;
         assert_eq!(life.terminate(7, 0), Effect::Enter(Stage::CloseIdle));
         assert_eq!(
             (life.rejoin(), life.evacuate(8), life.terminate(9, 0)),
             (Err(Refused), Err(Refused), Effect::None)
         );
-        assert_eq!(life.due(), Some(7 + DRAIN_TIME), "a second SIGTERM begins nothing anew");
+        assert_eq!(life.due(), Some(7 + DRAIN_TIME), "a second SIGTERM must not restart the drain time");
         assert_eq!(life.tick(7 + DRAIN_TIME), Effect::Enter(Stage::Closing));
         assert_eq!((life, life.rejoin()), (Life::Closed, Err(Refused)));
     }
 
-    /// A request that crosses the closing of an idle connection finds the doors open.
+    /// Guards against a lost request: one that crosses the closing of an idle connection must still find a
+    /// listener.
     #[test]
-    fn idle_connections_go_before_the_doors_close() {
+    fn idle_connections_close_before_the_listeners() {
         let mut life = Life::Serving;
         life.terminate(0, 0);
         assert_eq!((life.due(), life.tick(IDLE_TIME - 1)), (Some(IDLE_TIME), Effect::None));
@@ -273,16 +284,17 @@
         assert_eq!(life.tick(DRAIN_TIME), Effect::Enter(Stage::Closing));
     }
 
-    /// What comes on a connection that stays has its time before the process is ended, however long clients wait.
+    /// A request that arrives on a kept connection can be answered before the process is killed, for any
+    /// client timeout.
     #[test]
-    fn whoever_stays_can_still_be_answered() {
-        for longest in [0, 100_000, 900_000, 1_500_000, 4_000_000, 7_500_000] {
-            let ending = ShutdownTimes::for_client_timeout(longest);
-            let killed = longest.min(3_000_000) + 700_000;
-            assert!(ending.answer_by < killed, "{longest}");
+    fn requests_of_the_grace_period_are_answered_before_the_kill() {
+        for max_client_timeout in [0, 100_000, 900_000, 1_500_000, 4_000_000, 7_500_000] {
+            let times = ShutdownTimes::for_client_timeout(max_client_timeout);
+            let kill_at = max_client_timeout.min(3_000_000) + 700_000;
+            assert!(times.answer_by < kill_at, "{max_client_timeout}");
             assert!(
-                ending.grace_period == 0 || ending.grace_period + DRAIN_TIME < ending.answer_by,
-                "{longest}"
+                times.grace_period == 0 || times.grace_period + DRAIN_TIME < times.answer_by,
+                "{max_client_timeout}"
             );
         }
         assert_eq!(
@@ -297,37 +309,38 @@
     }
 
     #[test]
-    fn nobody_stays_beside_a_newer_process_or_where_it_was_being_emptied() {
+    fn the_grace_period_ends_with_a_newer_process_and_is_skipped_after_evacuate() {
         let mut life = Life::Serving;
         life.terminate(0, 1000);
         life.superseded(400);
         assert_eq!((life.due(), life.tick(400)), (Some(400), Effect::Enter(Stage::Draining)));
-        let mut emptied = Life::Serving;
-        emptied.evacuate(0).unwrap();
-        assert_eq!(emptied.terminate(5, 1000), Effect::Enter(Stage::Draining));
+        let mut evacuating = Life::Serving;
+        evacuating.evacuate(0).unwrap();
+        assert_eq!(evacuating.terminate(5, 1000), Effect::Enter(Stage::Draining));
     }
 
     proptest! {
-        /// Whatever comes in whatever order: it is ready in one state alone, an end is final, and the doors close in
-        /// their time after the word that began it.
+        /// For calls in random order: the process is ready only in `Serving`, a termination is final, a call
+        /// that does not change the state does not move the time of the next transition, and after a tick no
+        /// transition is overdue.
         #[test]
-        fn every_order_of_calls(moves in prop::collection::vec((0u8..4, 0..DRAIN_TIME), 1..60)) {
-            let (mut life, mut now, mut ended) = (Life::Serving, 0, false);
-            for (what, wait) in moves {
+        fn calls_in_any_order_keep_the_invariants(steps in prop::collection::vec((0u8..4, 0..DRAIN_TIME), 1..60)) {
+            let (mut life, mut now, mut terminated) = (Life::Serving, 0, false);
+            for (action, wait) in steps {
                 now += wait;
                 let before = life;
-                match what {
+                match action {
                     0 => _ = life.evacuate(now),
                     1 => _ = life.rejoin(),
-                    2 => { life.terminate(now, wait); ended = true; }
+                    2 => { life.terminate(now, wait); terminated = true; }
                     _ => _ = life.tick(now),
                 }
                 prop_assert_eq!(life.is_ready(), life == Life::Serving);
-                prop_assert_eq!(life.is_ending(), ended);
+                prop_assert_eq!(life.is_ending(), terminated);
                 if before == life {
                     prop_assert_eq!(before.due(), life.due());
                 }
-                if what == 3 {
+                if action == 3 {
                     prop_assert!(life.due().is_none_or(|due| due > now));
                 }
             }
--- a/crates/runtime/src/busy.rs
+++ b/crates/runtime/src/busy.rs
@@ -1,4 +1,4 @@
-//! How long a thread has been busy with its own work, as against waiting for others.
+//! Measures the time that a thread spends on work, as opposed to waiting for I/O or timers.
 
 use crate::clock::Clock;
 use plover_model::time::Micros;
@@ -10,32 +10,33 @@
 #[derive(Debug)]
 pub struct BusyTime {
     clock: Clock,
-    /// Of the polls that are over.
-    past: Cell<Micros>,
-    /// When the poll began that goes on.
-    since: Cell<Option<Micros>>,
+    /// Duration of all finished polls.
+    finished: Cell<Micros>,
+    /// Start of the current poll; `None` between two polls.
+    poll_start: Cell<Option<Micros>>,
 }
 
 impl BusyTime {
-    /// None yet.
+    /// Creates a measurement with a total of 0.
     pub fn new(clock: Clock) -> Self {
-        BusyTime { clock, past: Cell::new(0), since: Cell::new(None) }
+        BusyTime { clock, finished: Cell::new(0), poll_start: Cell::new(None) }
     }
 
-    /// All of it until now, in whole microseconds; 0 for as long as nothing is measured.
+    /// Returns the busy time until now, including the current poll, in microseconds; 0 if nothing was
+    /// measured yet.
     pub fn total(&self) -> Micros {
-        let current = self.since.get().map_or(0, |since| self.clock.now().saturating_sub(since));
-        self.past.get() + current
+        let current = self.poll_start.get().map_or(0, |start| self.clock.now().saturating_sub(start));
+        self.finished.get() + current
     }
 
-    /// Runs a future and counts its time.
+    /// Runs a future and adds the time of its polls to the total.
     pub async fn measure<T>(&self, work: impl Future<Output = T>) -> T {
         let mut work = pin!(work);
         poll_fn(|cx| {
-            self.since.set(Some(self.clock.now()));
+            self.poll_start.set(Some(self.clock.now()));
             let polled = work.as_mut().poll(cx);
-            self.past.set(self.total());
-            self.since.set(None);
+            self.finished.set(self.total());
+            self.poll_start.set(None);
             polled
         })
         .await
@@ -56,9 +57,9 @@
         block_on(busy.measure(Timer::after(WAIT)));
         let waited = busy.total();
         block_on(busy.measure(async {
-            let begun = Instant::now();
-            while begun.elapsed() < WAIT {}
-            assert!(busy.total() >= waited + WAIT.as_micros() as Micros, "what goes on counts");
+            let start = Instant::now();
+            while start.elapsed() < WAIT {}
+            assert!(busy.total() >= waited + WAIT.as_micros() as Micros, "the current poll must count");
         }));
         assert!(waited < WAIT.as_micros() as Micros, "{waited}");
         assert!(busy.total() >= waited + WAIT.as_micros() as Micros, "{}", busy.total());
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,4 +1,5 @@
-//! What all I/O shares: the program's clock and time limits, and reading from sockets.
+//! Shared basis of all I/O: the clock of the process, timeouts, sockets, and figures on threads and file
+//! descriptors.
 
 pub mod busy;
 pub mod clock;
--- a/crates/runtime/src/net.rs
+++ b/crates/runtime/src/net.rs
@@ -1,4 +1,4 @@
-//! Reading from sockets, for clients, data servers and discovery alike.
+//! Listening sockets, and reading from and closing connections, for clients, data servers and discovery.
 
 use async_io::Async;
 use futures_lite::AsyncRead;
@@ -14,17 +14,18 @@
 
 use crate::clock::with_timeout;
 
-/// A connection that the broker ends is read on for this long, so that its last answer is not lost by a reset
-/// (RFC 9112, section 9.6).
+/// Maximum time for which a connection that the broker closes is still read, so that a reset does not discard
+/// its last answer (RFC 9112, section 9.6).
 pub const LINGER: Duration = Duration::from_millis(500);
-/// Steps in which a connection's buffer grows, and the most that one read takes.
-const STEP: usize = 16 * 1024;
+/// Maximum number of bytes that one read returns; a quarter of it is the least by which a buffer grows.
+const READ_SIZE: usize = 16 * 1024;
 
-/// Connections that may wait to be accepted. A crowd connects faster than one thread accepts, and what finds no place in
-/// the queue tries again only a second later.
+/// Maximum number of connections that wait to be accepted. Many clients at once connect faster than one
+/// thread accepts, and a client that finds the queue full retries only after a second.
 pub const BACKLOG: i32 = 1024;
 
-/// Listens at an address; `shared`: beside another process of this user that shares it too.
+/// Opens a listening socket at an address. With `shared`, other processes of the same user that also set it
+/// can listen at the same address.
 pub fn listen(address: SocketAddr, shared: bool) -> io::Result<Async<TcpListener>> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -36,64 +37,69 @@
     Async::new(socket.into())
 }
 
-/// Takes over the listening socket that the platform holds for this address, as a descriptor of our own that no child
-/// inherits. The error says what is wrong with what was handed in.
+/// Duplicates the listening socket that the platform passed to the process for this address. Child processes
+/// do not inherit the duplicate. The error states why the descriptor is unusable.
 pub fn inherit(fd: i32, address: SocketAddr) -> io::Result<Async<TcpListener>> {
-    let wrong = |what: String| io::Error::other(format!("RELAY_FD: descriptor {fd} {what}"));
-    let me = pidfd_open(getpid(), PidfdFlags::empty())?;
-    // The one way to a descriptor by its number that trusts nobody's word: a copy, checked by the system.
-    let copy = pidfd_getfd(&me, fd, PidfdGetfdFlags::empty())
-        .map_err(|e| wrong(format!("cannot be taken over: {}", io::Error::from(e))))?;
+    let invalid = |problem: String| io::Error::other(format!("RELAY_FD: descriptor {fd} {problem}"));
+    let process = pidfd_open(getpid(), PidfdFlags::empty())?;
+    // Safe code can't take ownership of a descriptor by its number. The system checks the number and
+    // duplicates it.
+    let copy = pidfd_getfd(&process, fd, PidfdGetfdFlags::empty())
+        .map_err(|e| invalid(format!("cannot be taken over: {}", io::Error::from(e))))?;
     let socket = Socket::from(copy);
     if !socket.is_listener().unwrap_or(false) {
-        return Err(wrong("is no listening socket".to_owned()));
+        return Err(invalid("is no listening socket".to_owned()));
     }
-    let own = socket.local_addr()?.as_socket();
-    if own.is_none_or(|own| own != address && address.port() != 0) {
-        return Err(wrong(format!("listens at {own:?}, not at {address}")));
+    let local = socket.local_addr()?.as_socket();
+    if local.is_none_or(|local| local != address && address.port() != 0) {
+        return Err(invalid(format!("listens at {local:?}, not at {address}")));
     }
     Async::new(socket.into())
 }
 
-/// Lets no further connection begin, before a listener of ours alone is dropped: the system would reset those that come up
-/// after the last one was accepted. Handshakes that have begun are completed, so that the listener is accepted from for
+/// Drops all further connection requests to a listener. It is called before a listener that no other process
+/// shares is dropped, because the system would reset the connections that were established after the last
+/// accept. Handshakes that have begun are completed, so the caller has to accept connections for
 /// [`HANDSHAKE_TIME`] more.
 ///
-/// Linux alone has this filter. Elsewhere, or where the system refuses it, connections go on coming up until the listener is
-/// dropped, and those that were not accepted are reset then.
+/// Only Linux has this filter. On other systems, or if the system refuses the filter, connections are still
+/// established until the listener is dropped, and those that were not accepted are reset at that point.
 pub fn refuse_new_connections(listener: &Async<TcpListener>) {
-    let _ = SockRef::from(listener.get_ref()).attach_filter(&NO_SYN);
+    let _ = SockRef::from(listener.get_ref()).attach_filter(&DROP_SYN);
 }
 
-/// A handshake that has begun is over, on a sound network, within this time. Who connects in it is refused only as its system
-/// tries again, a second later, so that it is short.
+/// Time within which a TCP handshake that has begun is completed on a healthy network. It is short because a
+/// client that connects during this time is refused only when its system retries a second later.
 pub const HANDSHAKE_TIME: Duration = Duration::from_millis(1);
 
-/// A classic BPF program over a segment's TCP header that drops those which begin a connection. To drop others too would drop
-/// the last segment of a handshake, and what its client has sent behind it: the client takes itself for connected.
-const NO_SYN: [SockFilter; 4] = [
-    // BPF_LD | BPF_B | BPF_ABS: the byte of the flags.
+/// A classic BPF program that drops the TCP segments which begin a connection (those with the flag SYN).
+/// Dropping other segments too would lose the last segment of a handshake and the data that the client has
+/// sent after it, although the client regards itself as connected.
+const DROP_SYN: [SockFilter; 4] = [
+    // BPF_LD | BPF_B | BPF_ABS: load the byte of the TCP flags.
     SockFilter::new(0x30, 0, 0, 13),
-    // BPF_JMP | BPF_JSET | BPF_K: with SYN among them go on, else skip one.
+    // BPF_JMP | BPF_JSET | BPF_K: continue if SYN is set, otherwise skip one instruction.
     SockFilter::new(0x45, 0, 1, 0x02),
-    // BPF_RET | BPF_K: drop it.
+    // BPF_RET | BPF_K: drop the segment.
     SockFilter::new(0x06, 0, 0, 0),
-    // BPF_RET | BPF_K: pass all of it.
+    // BPF_RET | BPF_K: pass the whole segment.
     SockFilter::new(0x06, 0, 0, u32::MAX),
 ];
 
-/// Appends what the socket has, waiting until there is something; 0: the peer has closed. Nothing is taken from
-/// the socket unless this returns, so that it may be dropped while it waits.
+/// Waits until the socket has data and appends it to `input`. Returns the number of bytes read, or 0 if the
+/// peer has closed the connection. The function reads from the socket only when it returns, so its future can
+/// be dropped without loss.
 ///
-/// The bytes come through the stack and not through the future, which lives as long as its connection: a
-/// buffer in there would cost its memory for each idle one.
+/// The bytes are read into a buffer on the stack rather than in the future, which exists as long as its
+/// connection: a buffer in the future would take its memory for each idle connection.
 pub async fn read_some(mut stream: &Async<TcpStream>, input: &mut Vec<u8>) -> io::Result<usize> {
     poll_fn(|cx| {
-        let mut chunk = [0; STEP];
+        let mut chunk = [0; READ_SIZE];
         let n = ready!(Pin::new(&mut stream).poll_read(cx, &mut chunk))?;
-        // By steps, not by doubling: as many connections as there may be must fit the memory, each with its most.
+        // The buffer grows by the size of the read instead of doubling, because the largest number of
+        // connections, each with its largest input, must fit in memory.
         if input.capacity() - input.len() < n {
-            input.reserve_exact(n.max(STEP / 4));
+            input.reserve_exact(n.max(READ_SIZE / 4));
         }
         input.extend(&chunk[..n]);
         Ok(n).into()
@@ -101,19 +107,20 @@
     .await
 }
 
-/// Ends a connection whose client may still be sending: unread bytes would make the end a reset.
+/// Closes the write side of a connection and discards input for at most [`LINGER`]: if unread bytes were
+/// left, the system would reset the connection.
 pub async fn linger(stream: &Async<TcpStream>) -> io::Result<()> {
     linger_for(stream, LINGER).await
 }
 
-/// The same for so long at the most.
+/// As [`linger`], for at most `time`.
 pub async fn linger_for(stream: &Async<TcpStream>, time: Duration) -> io::Result<()> {
-    // The library of HTTP/2 has done so already where it came to an end of its own.
+    // The HTTP/2 library has already shut down the write side if it closed the connection itself.
     let _ = stream.get_ref().shutdown(Shutdown::Write);
-    let mut rest = Vec::new();
+    let mut discarded = Vec::new();
     let drain = async {
-        while read_some(stream, &mut rest).await? > 0 {
-            rest.clear();
+        while read_some(stream, &mut discarded).await? > 0 {
+            discarded.clear();
             yield_now().await;
         }
         Ok(())
