--- a/crates/broker/src/event_loop.rs
+++ b/crates/broker/src/event_loop.rs
@@ -18,7 +18,7 @@
 use plover_admission::{ConnectionId, OverheadEstimator, Turn};
 use plover_core::{Completion, Core, Decisions, Dispatch, Query, Report, Verdict};
 use plover_discovery::{Discovery, Times};
-use plover_handover::{Keyed, Neighbours};
+use plover_handover::{KeyedSend, Siblings};
 use plover_model::query::{AttemptId, QueryId, QueryRequest, Reply};
 use plover_model::server::{ListScope, Outcome, Targets};
 use plover_model::time::{Micros, millis};
@@ -91,7 +91,7 @@
             self.core.set_overhead(estimator.per_part(), estimator.per_turn(), self.busy.total());
             let (sent, ended) = self.turn(now).await;
             self.account(sent, ended);
-            let superseded = self.extensions.siblings().is_some_and(Neighbours::has_newer);
+            let superseded = self.extensions.siblings().is_some_and(Siblings::has_newer);
             if self.doors.turn(now, superseded, self.inbox.next_query_id()).await && self.queries.is_empty() {
                 return;
             }
@@ -242,7 +242,7 @@
     /// process is killed.
     fn terminate(&mut self, now: Micros) {
         let ending = Ending::of(self.core.max_client_timeout(now));
-        let superseded = self.extensions.siblings().is_some_and(Neighbours::has_newer);
+        let superseded = self.extensions.siblings().is_some_and(Siblings::has_newer);
         let ending = Ending { stay: if superseded { 0 } else { ending.stay }, ..ending };
         if self.doors.terminate(now, ending, self.queries.len()) {
             self.core.finish_by(now + ending.answer);
@@ -251,7 +251,7 @@
 
     /// Admits the queries that all extensions admit, and returns them for the decision module.
     fn admit(&mut self, now: Micros, arrived: Vec<ArrivedQuery>) -> Vec<Query> {
-        self.core.set_sibling_units(self.extensions.siblings().map_or(0, Neighbours::units));
+        self.core.set_sibling_units(self.extensions.siblings().map_or(0, Siblings::open_units));
         let mut queries = Vec::new();
         for (id, connection, request, client) in arrived {
             match self.extensions.admit(now, &request) {
@@ -302,7 +302,7 @@
         let messages = self.queries.take_updates();
         let actions = self.extensions.notify(now, TurnEvent::Decided(&messages));
         self.perform(now, actions);
-        if self.extensions.siblings().is_some_and(|siblings| siblings.keyed(now) != Keyed::May) {
+        if self.extensions.siblings().is_some_and(|siblings| siblings.keyed_send(now) != KeyedSend::Allowed) {
             let withheld = sends.iter_mut().flat_map(|group| group.extract_if(.., |send| send.key.is_some()));
             self.ended.extend(withheld.map(|send| never_sent(send.attempt)));
         }
--- a/crates/broker/src/extensions.rs
+++ b/crates/broker/src/extensions.rs
@@ -9,8 +9,8 @@
 
 use crate::queries::Queries;
 use plover_core::Core;
-use plover_handover::Neighbours;
-use plover_handover::wire::Word;
+use plover_handover::Siblings;
+use plover_handover::wire::Message;
 use plover_model::query::QueryRequest;
 use plover_model::snapshot::Snapshot;
 use plover_model::time::Micros;
@@ -51,7 +51,7 @@
     },
     /// All decisions are made, and the turn's attempts are sent next. Carries the messages about queries that
     /// were recorded since the last such event.
-    Decided(&'a [Word]),
+    Decided(&'a [Message]),
     /// The state of another process of this broker, which is serving, has been received.
     StateReceived,
     /// New settings are in effect.
@@ -66,7 +66,7 @@
     /// Start from the snapshot of another process of this broker.
     Restore(Box<Snapshot>),
     /// Record what another process of this broker did with a key.
-    ApplyUpdate(Word),
+    ApplyUpdate(Message),
     /// Set the number of processes of this broker.
     SetProcessCount(u32),
     /// Check again whether the broker is ready: the extension may no longer prevent it.
@@ -111,7 +111,7 @@
     fn report_gauges(&self, _census: &mut Census) {}
 
     /// The other processes of this broker. At most one extension returns them.
-    fn siblings(&self) -> Option<&Neighbours> {
+    fn siblings(&self) -> Option<&Siblings> {
         None
     }
 }
@@ -166,7 +166,7 @@
     }
 
     /// The other processes of this broker, if any extension knows them.
-    pub(crate) fn siblings(&self) -> Option<&Neighbours> {
+    pub(crate) fn siblings(&self) -> Option<&Siblings> {
         self.0.iter().find_map(|extension| extension.siblings())
     }
 }
--- a/crates/broker/src/hand_over.rs
+++ b/crates/broker/src/hand_over.rs
@@ -3,8 +3,8 @@
 
 use crate::extensions::{Action, Admission, Extension, TurnEvent, View};
 use crate::neighbours::Sockets;
-use plover_handover::wire::Word;
-use plover_handover::{Keyed, Neighbours, News};
+use plover_handover::wire::Message;
+use plover_handover::{KeyedSend, Siblings, Update};
 use plover_model::query::QueryRequest;
 use plover_model::time::Micros;
 use plover_runtime::clock::Clock;
@@ -36,7 +36,7 @@
             let now = self.clock.now();
             news.extend(self.sockets.turn(now));
             for id in self.sockets.owed() {
-                self.sockets.known.tell(now, id, &Word::Told);
+                self.sockets.known.send(now, id, &Message::StateSent);
             }
             self.sockets.flush(now);
             if self.sockets.known.is_settled() {
@@ -52,9 +52,9 @@
         let news = self.sockets.turn(now);
         let owed = self.sockets.owed();
         if !owed.is_empty() {
-            let recall = Word::Recall(Box::new(view.core.snapshot(now, view.rev)));
+            let recall = Message::Snapshot(Box::new(view.core.snapshot(now, view.rev)));
             // What was noted before this is part of all that is known.
-            let words = [recall].into_iter().chain(view.queries.all_updates()).chain([Word::Told]);
+            let words = [recall].into_iter().chain(view.queries.all_updates()).chain([Message::StateSent]);
             for word in words {
                 owed.iter().for_each(|id| self.sockets.tell_one(now, *id, &word));
             }
@@ -63,16 +63,16 @@
         self.take(news, actions);
     }
 
-    fn take(&mut self, news: Vec<News>, actions: &mut Vec<Action>) {
+    fn take(&mut self, news: Vec<Update>, actions: &mut Vec<Action>) {
         for news in news {
             match news {
-                News::Recall(recall) => actions.push(Action::Restore(recall)),
-                News::Key(word) => actions.push(Action::ApplyUpdate(word)),
-                News::Joined(older) => info!(name: "hand_over_joined", older),
-                News::Gone => {}
+                Update::Snapshot(recall) => actions.push(Action::Restore(recall)),
+                Update::Key(word) => actions.push(Action::ApplyUpdate(word)),
+                Update::Joined(older) => info!(name: "hand_over_joined", older),
+                Update::Gone => {}
             }
         }
-        let copies = self.sockets.known.copies();
+        let copies = self.sockets.known.process_count();
         if std::mem::replace(&mut self.copies, copies) != copies {
             actions.push(Action::SetProcessCount(copies));
         }
@@ -104,7 +104,9 @@
     /// One of a keyed class waits where a process that has just come is about to say who it is.
     fn admit(&mut self, now: Micros, ask: &QueryRequest) -> Admission {
         let known = &self.sockets.known;
-        let soon = ask.idempotency_key.is_some() && !known.is_settled() && known.keyed(now) != Keyed::May;
+        let soon = ask.idempotency_key.is_some()
+            && !known.is_settled()
+            && known.keyed_send(now) != KeyedSend::Allowed;
         if soon { Admission::Deferred } else { Admission::Admitted }
     }
 
@@ -112,7 +114,7 @@
         self.sockets.has_told()
     }
 
-    fn siblings(&self) -> Option<&Neighbours> {
+    fn siblings(&self) -> Option<&Siblings> {
         Some(&self.sockets.known)
     }
 }
--- a/crates/broker/src/neighbours.rs
+++ b/crates/broker/src/neighbours.rs
@@ -8,8 +8,8 @@
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
-use plover_handover::wire::Word;
-use plover_handover::{LinkId, Me, Neighbours, News, Times};
+use plover_handover::wire::Message;
+use plover_handover::{LinkId, LocalProcess, Siblings, Timeouts, Update};
 use plover_model::time::Micros;
 use plover_runtime::clock::{Clock, limited};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
@@ -61,7 +61,7 @@
     /// Processes that have lost us and may run on.
     estranged: BTreeMap<u32, OwnedFd>,
     next: LinkId,
-    pub(crate) known: Neighbours,
+    pub(crate) known: Siblings,
     /// Links that were told all that was known.
     told: Vec<LinkId>,
 }
@@ -89,7 +89,7 @@
         if is_ours(&own) {
             let _ = std::fs::remove_file(&own);
         }
-        let me = Me { name: name.to_owned(), started: clock.shared(clock.now()), pid };
+        let me = LocalProcess { name: name.to_owned(), started: clock.shared(clock.now()), pid };
         let mut sockets = Sockets {
             executor,
             inbox,
@@ -98,7 +98,7 @@
             wires: BTreeMap::new(),
             estranged: BTreeMap::new(),
             next: 0,
-            known: Neighbours::new(me, Times { quarantine, ..Times::default() }),
+            known: Siblings::new(me, Timeouts { quarantine, ..Timeouts::default() }),
             told: Vec::new(),
         };
         match Async::<UnixListener>::bind(&own) {
@@ -164,8 +164,8 @@
     }
 
     /// Takes all that neighbours have said by now.
-    pub(crate) fn turn(&mut self, now: Micros) -> Vec<News> {
-        self.known.begin(now);
+    pub(crate) fn turn(&mut self, now: Micros) -> Vec<Update> {
+        self.known.begin_turn(now);
         let mut news = Vec::new();
         let mut came = Vec::new();
         if let Some((listener, watch)) = &self.listener {
@@ -184,17 +184,17 @@
             // What it has said by now is read; it lives, or nobody would have to be given up.
             news.extend(self.lose(now, id));
         }
-        for pid in self.known.estranged().to_vec() {
+        for pid in self.known.disconnected().to_vec() {
             let gone = self.estranged.get(&pid).is_none_or(|process| has_ended(process, &NO_WAIT));
             if gone {
                 self.estranged.remove(&pid);
-                self.known.buried(now, pid);
+                self.known.process_ended(now, pid);
             }
         }
         news
     }
 
-    fn read(&mut self, now: Micros, id: LinkId) -> Vec<News> {
+    fn read(&mut self, now: Micros, id: LinkId) -> Vec<Update> {
         let mut news = Vec::new();
         let Some(wire) = self.wires.get(&id) else { return news };
         let stream = wire.stream.clone();
@@ -227,22 +227,22 @@
     }
 
     /// The one place where a link is given back.
-    fn lose(&mut self, now: Micros, id: LinkId) -> Vec<News> {
+    fn lose(&mut self, now: Micros, id: LinkId) -> Vec<Update> {
         let Some(wire) = self.wires.remove(&id) else { return Vec::new() };
         self.told.retain(|told| *told != id);
         let alive = wire.process.as_ref().is_some_and(|process| !has_ended(process, &BURIAL));
-        let before = self.known.estranged().len();
-        let news = self.known.lost(now, id, alive);
-        if let (Some(pid), Some(process)) = (self.known.estranged().get(before), wire.process) {
+        let before = self.known.disconnected().len();
+        let news = self.known.link_lost(now, id, alive);
+        if let (Some(pid), Some(process)) = (self.known.disconnected().get(before), wire.process) {
             self.estranged.insert(*pid, process);
         }
-        info!(name: "hand_over_ended", alive, copies = self.known.copies());
+        info!(name: "hand_over_ended", alive, copies = self.known.process_count());
         news
     }
 
     /// The links that are owed all that is known, once.
     pub(crate) fn owed(&mut self) -> Vec<LinkId> {
-        let mut owed = self.known.greeted();
+        let mut owed = self.known.greeted_links();
         owed.retain(|id| !self.told.contains(id));
         self.told.extend(&owed);
         owed
@@ -254,15 +254,15 @@
     }
 
     /// Says something to all neighbours that were told what was known before.
-    pub(crate) fn tell(&mut self, now: Micros, word: &Word) {
+    pub(crate) fn tell(&mut self, now: Micros, word: &Message) {
         for id in self.told.clone() {
             self.tell_one(now, id, word);
         }
     }
 
     /// Says something to one of them.
-    pub(crate) fn tell_one(&mut self, now: Micros, id: LinkId, word: &Word) {
-        if !self.known.tell(now, id, word) {
+    pub(crate) fn tell_one(&mut self, now: Micros, id: LinkId, word: &Message) {
+        if !self.known.send(now, id, word) {
             warn!(name: "hand_over_failed", what = "a neighbour cannot be told all that is known", link = id);
         }
     }
@@ -271,12 +271,12 @@
     pub(crate) fn flush(&mut self, now: Micros) {
         for (id, wire) in &self.wires {
             loop {
-                let waiting = self.known.waiting(*id);
+                let waiting = self.known.unsent(*id);
                 if waiting.is_empty() {
                     break;
                 }
                 match wire.stream.get_ref().write(waiting) {
-                    Ok(n) if n > 0 => self.known.wrote(now, *id, n),
+                    Ok(n) if n > 0 => self.known.written(now, *id, n),
                     // Its end is read in the next turn; until then nothing is known to be known there.
                     _ => break,
                 }
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -7,8 +7,8 @@
 use plover_admission::{CapacityShares, ConnectionId};
 use plover_core::{Dispatch, Query};
 use plover_frames::PartId;
-use plover_handover::wire::{Whose, Word};
-use plover_handover::{Keyed, Neighbours};
+use plover_handover::wire::{KeyOwner, Message};
+use plover_handover::{KeyedSend, Siblings};
 use plover_limits::{Permit, QueryLimiter};
 use plover_model::query::{AttemptId, Names, Proof, QueryId, QueryRequest, Reply};
 use plover_model::server::Outcome;
@@ -88,40 +88,40 @@
     }
 }
 
-fn query_opened(request: &QueryRequest, permit: &Permit) -> Word {
+fn query_opened(request: &QueryRequest, permit: &Permit) -> Message {
     let owner = permit.owner().map(|owner| owner.as_ref().to_owned());
-    Word::Opened { id: request.id.as_ref().to_owned(), units: units(request) as u32, owner }
+    Message::Opened { id: request.id.as_ref().to_owned(), units: units(request) as u32, owner }
 }
 
-fn whose(key: &IdempotencyKey, window: Option<Micros>) -> Whose {
-    Whose { owner: key.owner.as_ref().to_owned(), window }
+fn key_owner(key: &IdempotencyKey, window: Option<Micros>) -> KeyOwner {
+    KeyOwner { owner: key.owner.as_ref().to_owned(), window }
 }
 
 /// Converts an event of a key to a message for other processes of this broker. `origin` is the machine's
 /// clock at zero of the broker's clock.
-fn key_message(of: &IdempotencyKey, window: Option<Micros>, event: KeyEvent, origin: Micros) -> Word {
-    let (key, whose) = (of.text.as_ref().to_owned(), whose(of, window));
+fn key_message(of: &IdempotencyKey, window: Option<Micros>, event: KeyEvent, origin: Micros) -> Message {
+    let (key, key_owner) = (of.text.as_ref().to_owned(), key_owner(of, window));
     match event {
-        KeyEvent::Opened { until } => Word::KeyOpened { key, until: origin + until, whose },
+        KeyEvent::Opened { until } => Message::KeyOpened { key, until: origin + until, key_owner },
         KeyEvent::Sent { shard, at, until } => {
             let (shard, at, until) = (shard as u32, origin + at, origin + until);
-            Word::KeySent { key, shard, at, until, whose }
+            Message::KeySent { key, shard, at, until, key_owner }
         }
         KeyEvent::Ended { shard, at, proof } => {
-            Word::KeyEnded { key, shard: shard as u32, at: origin + at, proof, whose }
+            Message::KeyEnded { key, shard: shard as u32, at: origin + at, proof, key_owner }
         }
-        KeyEvent::Closed { answered } => Word::KeyClosed { key, at: origin, answered, whose },
+        KeyEvent::Closed { answered } => Message::KeyClosed { key, at: origin, answered, key_owner },
     }
 }
 
 /// The other processes of this broker; `None` if the handover is switched off.
 #[derive(Clone, Copy)]
-pub(crate) struct OtherProcesses<'a>(pub(crate) Option<&'a Neighbours>);
+pub(crate) struct OtherProcesses<'a>(pub(crate) Option<&'a Siblings>);
 
 impl OtherProcesses<'_> {
     /// Whether a part of a keyed class may be sent.
-    pub(crate) fn keyed(self, now: Micros) -> Keyed {
-        self.0.map_or(Keyed::May, |neighbours| neighbours.keyed(now))
+    pub(crate) fn keyed(self, now: Micros) -> KeyedSend {
+        self.0.map_or(KeyedSend::Allowed, |siblings| siblings.keyed_send(now))
     }
 }
 
@@ -161,7 +161,7 @@
     /// Queries that have ended since the last call of [`Queries::take_ended`].
     ended: Vec<QueryId>,
     /// Messages for other processes of this broker; `None` if there are no such processes.
-    messages: Option<Vec<Word>>,
+    messages: Option<Vec<Message>>,
     /// The machine's clock at zero of the broker's clock.
     origin: Micros,
     counters: Books,
@@ -210,13 +210,13 @@
     }
 
     /// Removes and returns the messages recorded since the last call.
-    pub(crate) fn take_updates(&mut self) -> Vec<Word> {
+    pub(crate) fn take_updates(&mut self) -> Vec<Message> {
         self.messages.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
     /// All messages that a process needs that has just joined.
-    pub(crate) fn all_updates(&self) -> Vec<Word> {
-        let mut messages: Vec<Word> =
+    pub(crate) fn all_updates(&self) -> Vec<Message> {
+        let mut messages: Vec<Message> =
             self.pending.values().map(|p| query_opened(&p.request, &p.permit)).collect();
         self.key_register
             .replay(|key, window, event| messages.push(key_message(key, window, event, self.origin)));
@@ -224,21 +224,27 @@
     }
 
     /// Records what another process of this broker did with a key.
-    pub(crate) fn apply_update(&mut self, now: Micros, word: Word) {
+    pub(crate) fn apply_update(&mut self, now: Micros, word: Message) {
         let at = |shared: Micros| shared.saturating_sub(self.origin);
-        let (key, whose, event) = match word {
-            Word::KeyOpened { key, until, whose } => (key, whose, KeyEvent::Opened { until: at(until) }),
-            Word::KeySent { key, shard, at: sent, until, whose } => {
-                (key, whose, KeyEvent::Sent { shard: shard as usize, at: at(sent), until: at(until) })
+        let (key, key_owner, event) = match word {
+            Message::KeyOpened { key, until, key_owner } => {
+                (key, key_owner, KeyEvent::Opened { until: at(until) })
             }
-            Word::KeyEnded { key, shard, at: ended, proof, whose } => {
-                (key, whose, KeyEvent::Ended { shard: shard as usize, at: at(ended), proof })
+            Message::KeySent { key, shard, at: sent, until, key_owner } => {
+                (key, key_owner, KeyEvent::Sent { shard: shard as usize, at: at(sent), until: at(until) })
+            }
+            Message::KeyEnded { key, shard, at: ended, proof, key_owner } => {
+                (key, key_owner, KeyEvent::Ended { shard: shard as usize, at: at(ended), proof })
+            }
+            Message::KeyClosed { key, answered, key_owner, .. } => {
+                (key, key_owner, KeyEvent::Closed { answered })
+            }
+            Message::Snapshot(_) | Message::StateSent | Message::Opened { .. } | Message::Closed { .. } => {
+                return;
             }
-            Word::KeyClosed { key, answered, whose, .. } => (key, whose, KeyEvent::Closed { answered }),
-            Word::Recall(_) | Word::Told | Word::Opened { .. } | Word::Closed { .. } => return,
         };
-        let key = IdempotencyKey { text: key.into(), owner: whose.owner.into() };
-        if !self.key_register.apply(now, &key, whose.window, event) {
+        let key = IdempotencyKey { text: key.into(), owner: key_owner.owner.into() };
+        if !self.key_register.apply(now, &key, key_owner.window, event) {
             warn!(name: "key_unheard", held = self.key_register.key_count());
         }
     }
@@ -360,7 +366,7 @@
         };
         // Data servers know parts by the request's id: the parts of two requests with one id could not be
         // told apart.
-        if self.ids.contains(&request.id) || siblings.0.is_some_and(|n| n.has(&request.id)) {
+        if self.ids.contains(&request.id) || siblings.0.is_some_and(|n| n.has_open_query(&request.id)) {
             let why = "X-Request-Id is that of a request in hand".to_owned();
             return answer_at_once(Reply::Bad { status: 400, why });
         }
@@ -371,7 +377,7 @@
         }
         let mut permit =
             match self.limiter.admit_with_siblings(now, &request.limits, request.tenant, |owner| {
-                siblings.0.map_or(0, |n| n.in_hand(owner))
+                siblings.0.map_or(0, |n| n.open_queries_of(owner))
             }) {
                 Ok(permit) => permit,
                 Err(refused) => {
@@ -389,8 +395,8 @@
             let shards = request.parts.iter().map(|p| p.shard);
             // A process of which nothing is known may be sending parts of this key.
             let verdict = match siblings.keyed(now) {
-                Keyed::Wait(until) => Verdict::Busy(until.min(deadline)),
-                Keyed::May => self.key_register.open(now, key, shards, deadline, *window),
+                KeyedSend::Wait(until) => Verdict::Busy(until.min(deadline)),
+                KeyedSend::Allowed => self.key_register.open(now, key, shards, deadline, *window),
             };
             if verdict != Verdict::Serve {
                 self.shares.release(connection, units);
@@ -472,7 +478,7 @@
         self.counters.end(pending.class_counter, end);
         self.limiter.release(std::mem::take(&mut pending.permit));
         if let Some(messages) = &mut self.messages {
-            messages.push(Word::Closed { id: pending.request.id.as_ref().to_owned() });
+            messages.push(Message::Closed { id: pending.request.id.as_ref().to_owned() });
             let event = KeyEvent::Closed { answered: end == End::Succeeded };
             let closed = |(key, window): &(IdempotencyKey, Micros)| {
                 key_message(key, Some(*window), event, self.origin)
--- a/crates/handover/src/wire.rs
+++ b/crates/handover/src/wire.rs
@@ -1,8 +1,8 @@
 //! What neighbours say to each other.
 //!
-//! A frame is the length of the rest (four bytes, most significant first, [`LONGEST`] at the most) and the rest. The first
+//! A frame is the length of the rest (four bytes, most significant first, [`MAX_FRAME_LENGTH`] at the most) and the rest. The first
 //! frame of each side is its greeting: [`MAGIC`], the version (two bytes, most significant first), and the rest as that
-//! version has it. All later frames hold one [`Word`] as postcard encodes it (postcard.jamesmunns.com, wire format 1.0).
+//! version has it. All later frames hold one [`Message`] as postcard encodes it (postcard.jamesmunns.com, wire format 1.0).
 
 use plover_model::query::Proof;
 use plover_model::snapshot::Snapshot;
@@ -15,7 +15,7 @@
 /// The version that is spoken here.
 pub const VERSION: u16 = 1;
 /// Longest rest of a frame, in bytes: what is known of 10,000 servers of which all are cold and each was sent 64 calls.
-pub const LONGEST: usize = 16 << 20;
+pub const MAX_FRAME_LENGTH: usize = 16 << 20;
 
 /// Who says hello.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -28,10 +28,10 @@
     pub pid: u32,
 }
 
-/// Whose a key is. It stands last in its words, where processes before this one had nothing: they pass it over, and what
+/// KeyOwner a key is. It stands last in its words, where processes before this one had nothing: they pass it over, and what
 /// they say is read as nobody's.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Whose {
+pub struct KeyOwner {
     /// The tenant and the class; empty: not told, it may be anybody's.
     pub owner: String,
     /// For how long data servers drop its repeats, if that is known.
@@ -43,11 +43,13 @@
 
 /// What is told after the greetings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     /// What is known of servers and classes.
-    Recall(Box<Snapshot>),
+    #[serde(rename = "Recall")]
+    Snapshot(Box<Snapshot>),
     /// All that was known at the greeting has been told.
-    Told,
+    #[serde(rename = "Told")]
+    StateSent,
     /// A query is in hand.
     Opened {
         /// Its request's id.
@@ -68,8 +70,9 @@
         key: String,
         /// When its client gives up.
         until: Micros,
-        /// Whose it is.
-        whose: Whose,
+        /// KeyOwner it is.
+        #[serde(rename = "whose")]
+        key_owner: KeyOwner,
     },
     /// A part is about to be sent under a key.
     KeySent {
@@ -81,8 +84,9 @@
         at: Micros,
         /// Until when it is waited for.
         until: Micros,
-        /// Whose the key is.
-        whose: Whose,
+        /// KeyOwner the key is.
+        #[serde(rename = "whose")]
+        key_owner: KeyOwner,
     },
     /// That attempt has ended.
     KeyEnded {
@@ -94,8 +98,9 @@
         at: Micros,
         /// What that proves.
         proof: Proof,
-        /// Whose the key is.
-        whose: Whose,
+        /// KeyOwner the key is.
+        #[serde(rename = "whose")]
+        key_owner: KeyOwner,
     },
     /// The query of the key has ended.
     KeyClosed {
@@ -105,30 +110,31 @@
         at: Micros,
         /// Whether its client was answered.
         answered: bool,
-        /// Whose the key is.
-        whose: Whose,
+        /// KeyOwner the key is.
+        #[serde(rename = "whose")]
+        key_owner: KeyOwner,
     },
 }
 
 /// What cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum ProtocolError {
     /// The first bytes are not those of a greeting.
     #[error("it is no neighbour: the first bytes are not a greeting's")]
-    Magic,
+    NotAGreeting,
     /// Another version is spoken.
     #[error("it speaks version {0} of the hand-over, not {VERSION}")]
-    Version(u16),
+    UnsupportedVersion(u16),
     /// A frame is longer than any.
-    #[error("a frame of {0} bytes, {LONGEST} at the most")]
-    TooLong(usize),
+    #[error("a frame of {0} bytes, {MAX_FRAME_LENGTH} at the most")]
+    FrameTooLong(usize),
     /// A frame holds what is no word.
     #[error("a frame that holds no word")]
-    Word,
+    InvalidMessage,
 }
 
 /// Encodes a greeting as a whole frame.
-pub fn greet(greeting: &Greeting) -> Vec<u8> {
+pub fn encode_greeting(greeting: &Greeting) -> Vec<u8> {
     let mut rest = MAGIC.to_vec();
     rest.extend(VERSION.to_be_bytes());
     rest.extend(postcard::to_allocvec(greeting).unwrap_or_default());
@@ -136,8 +142,8 @@
 }
 
 /// Encodes a word as a whole frame; `None`: it is longer than any may be.
-pub fn say(word: &Word) -> Option<Vec<u8>> {
-    postcard::to_allocvec(word).ok().filter(|rest| rest.len() <= LONGEST).map(|rest| frame(&rest))
+pub fn encode_message(word: &Message) -> Option<Vec<u8>> {
+    postcard::to_allocvec(word).ok().filter(|rest| rest.len() <= MAX_FRAME_LENGTH).map(|rest| frame(&rest))
 }
 
 fn frame(rest: &[u8]) -> Vec<u8> {
@@ -149,21 +155,21 @@
 
 /// Takes frames out of what has come, in whatever pieces.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Reader {
+pub struct FrameReader {
     input: Vec<u8>,
 }
 
-impl Reader {
+impl FrameReader {
     /// Takes what has come.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.input.extend(bytes);
     }
 
-    fn next(&mut self) -> Result<Option<Vec<u8>>, Fault> {
+    fn next(&mut self) -> Result<Option<Vec<u8>>, ProtocolError> {
         let Some((length, rest)) = self.input.split_first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_be_bytes(*length) as usize;
-        if length > LONGEST {
-            return Err(Fault::TooLong(length));
+        if length > MAX_FRAME_LENGTH {
+            return Err(ProtocolError::FrameTooLong(length));
         }
         let Some(frame) = rest.get(..length).map(<[u8]>::to_vec) else { return Ok(None) };
         self.input.drain(..4 + length);
@@ -171,29 +177,31 @@
     }
 
     /// The greeting, once it is there.
-    pub fn greeting(&mut self) -> Result<Option<Greeting>, Fault> {
+    pub fn read_greeting(&mut self) -> Result<Option<Greeting>, ProtocolError> {
         // Noise is told from a greeting before its length is believed.
         let magic = self.input.get(4..).unwrap_or_default();
         if !magic.iter().zip(MAGIC).all(|(a, b)| *a == b) {
-            return Err(Fault::Magic);
+            return Err(ProtocolError::NotAGreeting);
         }
         let Some(frame) = self.next()? else { return Ok(None) };
-        let Some(rest) = frame.strip_prefix(&MAGIC) else { return Err(Fault::Magic) };
-        let Some((version, rest)) = rest.split_first_chunk::<2>() else { return Err(Fault::Word) };
+        let Some(rest) = frame.strip_prefix(&MAGIC) else { return Err(ProtocolError::NotAGreeting) };
+        let Some((version, rest)) = rest.split_first_chunk::<2>() else {
+            return Err(ProtocolError::InvalidMessage);
+        };
         match u16::from_be_bytes(*version) {
-            VERSION => postcard::from_bytes(rest).map(Some).map_err(|_| Fault::Word),
-            other => Err(Fault::Version(other)),
+            VERSION => postcard::from_bytes(rest).map(Some).map_err(|_| ProtocolError::InvalidMessage),
+            other => Err(ProtocolError::UnsupportedVersion(other)),
         }
     }
 
     /// The next word, once it is there.
-    pub fn word(&mut self) -> Result<Option<Word>, Fault> {
+    pub fn read_message(&mut self) -> Result<Option<Message>, ProtocolError> {
         let Some(mut frame) = self.next()? else { return Ok(None) };
         let word = postcard::from_bytes(&frame).or_else(|_| {
             frame.extend(NOBODYS);
             postcard::from_bytes(&frame)
         });
-        word.map(Some).map_err(|_| Fault::Word)
+        word.map(Some).map_err(|_| ProtocolError::InvalidMessage)
     }
 }
 
--- a/crates/handover/tests/key_model.rs
+++ b/crates/handover/tests/key_model.rs
@@ -1,8 +1,8 @@
 //! All orders of a small case: two processes, one key, words that are late, links that end, processes that die, clients that
 //! come back. No part is run again once data servers no longer drop its repeat, whichever process it reaches.
 
-use plover_handover::wire::{Whose, Word};
-use plover_handover::{Keyed, Me, Neighbours, News, Times};
+use plover_handover::wire::{KeyOwner, Message};
+use plover_handover::{KeyedSend, LocalProcess, Siblings, Timeouts, Update};
 use stateright::{Checker, Model, Property};
 
 /// For so long data servers drop a repeat; clients come back for so long; the rest is bounded by both.
@@ -11,12 +11,12 @@
 const END: u64 = 3;
 /// What each process is asked under the key, at the most. With 2 it holds as well, over 3,831,118 states.
 const ASKS: u8 = 1;
-const TIMES: Times = Times { greeting: 1, stall: 1, quarantine: KEEP };
+const TIMEOUTS: Timeouts = Timeouts { greeting: 1, stall: 1, quarantine: KEEP };
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Side {
     alive: bool,
-    known: Neighbours,
+    known: Siblings,
     /// Bytes on their way to it, and whether the other end is closed.
     inbox: Vec<u8>,
     full: bool,
@@ -25,7 +25,7 @@
     /// When the key was first sent, as far as it knows.
     first: Option<u64>,
     owed: bool,
-    /// Times that a client asked here.
+    /// Timeouts that a client asked here.
     asked: u8,
 }
 
@@ -60,7 +60,7 @@
         let other = 1 - n;
         let mut read = std::mem::take(&mut s.sides[n].inbox);
         let side = &mut s.sides[n];
-        side.known.begin(now);
+        side.known.begin_turn(now);
         side.full = false;
         let mut news = Vec::new();
         if side.linked && !read.is_empty() {
@@ -68,35 +68,41 @@
         }
         read.clear();
         for word in news {
-            if let News::Key(Word::KeySent { at, .. }) = word {
+            if let Update::Key(Message::KeySent { at, .. }) = word {
                 side.first = Some(side.first.map_or(at, |f| f.min(at)));
             }
         }
         if side.linked && side.closed {
             side.linked = false;
             let alive = s.sides[other].alive;
-            s.sides[n].known.lost(now, 1, alive);
+            s.sides[n].known.link_lost(now, 1, alive);
         }
         for id in s.sides[n].known.tick(now) {
             // Given up: the other sees the end.
             s.sides[n].linked = false;
             let alive = s.sides[other].alive;
             s.sides[other].closed = true;
-            s.sides[n].known.lost(now, id, alive);
+            s.sides[n].known.link_lost(now, id, alive);
         }
         let side = &mut s.sides[n];
-        if side.linked && side.owed && !side.known.greeted().is_empty() {
+        if side.linked && side.owed && !side.known.greeted_links().is_empty() {
             side.owed = false;
             if let Some(at) = side.first {
-                side.known.tell(
+                side.known.send(
                     now,
                     1,
-                    &Word::KeySent { key: "k".into(), shard: 0, at, until: at, whose: Whose::default() },
+                    &Message::KeySent {
+                        key: "k".into(),
+                        shard: 0,
+                        at,
+                        until: at,
+                        key_owner: KeyOwner::default(),
+                    },
                 );
             }
-            side.known.tell(now, 1, &Word::Told);
+            side.known.send(now, 1, &Message::StateSent);
         }
-        let may = |side: &Side| self.heedless || side.known.keyed(now) == Keyed::May;
+        let may = |side: &Side| self.heedless || side.known.keyed_send(now) == KeyedSend::Allowed;
         self.flush(s, n);
         let side = &mut s.sides[n];
         side.asked += u8::from(ask);
@@ -105,10 +111,16 @@
         }
         side.first.get_or_insert(now);
         if side.linked && !side.owed {
-            side.known.tell(
+            side.known.send(
                 now,
                 1,
-                &Word::KeySent { key: "k".into(), shard: 0, at: now, until: now, whose: Whose::default() },
+                &Message::KeySent {
+                    key: "k".into(),
+                    shard: 0,
+                    at: now,
+                    until: now,
+                    key_owner: KeyOwner::default(),
+                },
             );
         }
         self.flush(s, n);
@@ -122,8 +134,8 @@
         if !s.sides[n].linked || s.sides[n].closed || s.sides[1 - n].full {
             return;
         }
-        let bytes = s.sides[n].known.waiting(1).to_vec();
-        s.sides[n].known.wrote(s.now, 1, bytes.len());
+        let bytes = s.sides[n].known.unsent(1).to_vec();
+        s.sides[n].known.written(s.now, 1, bytes.len());
         s.sides[1 - n].inbox.extend(bytes);
     }
 }
@@ -134,8 +146,8 @@
 
     fn init_states(&self) -> Vec<State> {
         let side = |started: u64| {
-            let me = Me { name: "n".into(), started, pid: started as u32 };
-            let mut known = Neighbours::new(me, TIMES);
+            let me = LocalProcess { name: "n".into(), started, pid: started as u32 };
+            let mut known = Siblings::new(me, TIMEOUTS);
             known.connected(0, 1, 3 - started as u32);
             Side {
                 alive: true,
@@ -169,7 +181,7 @@
                 actions.push(Action::Turn(n, true));
             }
             actions.push(Action::Kill(n));
-            if !s.sides[1 - n].alive && !s.sides[n].known.estranged().is_empty() {
+            if !s.sides[1 - n].alive && !s.sides[n].known.disconnected().is_empty() {
                 actions.push(Action::Burial(n));
             }
         }
@@ -188,8 +200,8 @@
             }
             Action::Fill(n) => s.sides[n].full = true,
             Action::Burial(n) => {
-                let pid = s.sides[n].known.estranged()[0];
-                s.sides[n].known.buried(s.now, pid);
+                let pid = s.sides[n].known.disconnected()[0];
+                s.sides[n].known.process_ended(s.now, pid);
             }
         }
         (s != *last).then_some(s)
