--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,12 +1,15 @@
-//! Two processes that are one broker for a while: an old one that serves, and a new one that takes over.
+//! State shared by the processes of one broker during a handover: an old process that serves and a new one that
+//! takes over.
 //!
-//! Rules and limits hold for both together, so each tells the other what it does before it does it: the keys whose parts
-//! it sends, the queries it has in hand. [`wire`] is how that is said, [`Siblings`] what each side makes of it. Both are
-//! without I/O or clock; times are those of the machine's monotonic clock, which all of its processes share.
+//! The rules and limits of the broker apply to its processes together, so each process tells the others what it does
+//! before it does it: the keys whose parts it sends and the queries that it has open. [`wire`] defines the messages;
+//! [`Siblings`] holds what one process knows of the others. Both work without I/O and without a clock: times are read
+//! by the caller from the machine's monotonic clock, which all of its processes share.
 //!
-//! What is not known counts against us. A neighbour that speaks another version, does not answer, or stops reading may be
-//! sending anything: until it is gone, and for as long after that as its clients may come back, no part of a keyed class is
-//! sent. Where both live but have lost each other, the new one knows all that the old one did, and the old one holds back.
+//! Whatever is unknown is assumed to be unsafe. A sibling that speaks another protocol version, does not answer or
+//! stops reading may be sending anything. Until it has ended, and after that for as long as its clients may retry
+//! here, no part of a keyed class is sent. If both processes are alive but have lost their connection, the new one
+//! knows everything that the old one sent and goes on, and the old one stops sending.
 
 mod siblings;
 pub mod wire;
--- a/crates/handover/src/siblings.rs
+++ b/crates/handover/src/siblings.rs
@@ -1,30 +1,30 @@
-//! What one process knows of its neighbours, and what it may do therefore.
+//! What one process of a broker knows of its siblings, and whether it may therefore send parts of keyed classes.
 
 use crate::wire::{FrameReader, Greeting, Message, ProtocolError, encode_greeting, encode_message};
 use plover_model::snapshot::Snapshot;
 use plover_model::time::{MILLI, Micros, SECOND};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Number of a link, never used twice.
+/// Number of a link (a connection to a sibling). Numbers are never reused.
 pub type LinkId = u64;
 
-/// Siblings that are listened to at once: one is usual, two where a third process starts in the middle.
+/// Maximum number of links at a time. One is usual, two if a third process starts during a handover.
 pub const MAX_LINKS: usize = 4;
-/// Most that waits to be written to a neighbour: the longest word, and the keys in hand.
+/// Maximum number of bytes waiting to be written to a sibling: the longest message and the keys of all open queries.
 const MAX_UNSENT_BYTES: usize = 32 << 20;
 
-/// This process.
+/// Identity of this process, which it sends to each sibling as its greeting.
 pub type LocalProcess = Greeting;
 
-/// Timeouts that bound what a neighbour may leave open.
+/// Time limits for what a sibling may leave open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Timeouts {
-    /// A greeting, and all that was known before, comes within this time.
+    /// Maximum time for a sibling's greeting to arrive, and then for the state that it had before to arrive.
     pub greeting: Micros,
-    /// A neighbour that takes nothing for this long is given up.
+    /// A link is closed if the sibling reads none of the unsent bytes for this time.
     pub stall: Micros,
-    /// For so long after an unknown neighbour has gone may its keys come back here: the window in which servers drop
-    /// repeats, and the longest that a client goes on asking.
+    /// Time after the end of a sibling with unknown state during which its keys may be retried here: the window in
+    /// which data servers drop repeats, and the longest time for which a client retries.
     pub quarantine: Micros,
 }
 
@@ -37,126 +37,136 @@
 /// Whether a part of a keyed class may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyedSend {
-    /// All that neighbours have sent is known, and they know what was sent here.
+    /// This process knows everything that its siblings have sent, and they know everything that it has sent.
     Allowed,
-    /// Not before this moment; [`Micros::MAX`]: nobody can tell yet.
+    /// Not before this time. [`Micros::MAX`] means that the time is not known yet.
     Wait(Micros),
 }
 
-/// What a neighbour has told.
+/// A change that a sibling reported or that the state of its link implies.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
-    /// It is one broker with us from now on; true: it is the older one.
+    /// The sibling has sent all of its earlier state. The value is `true` if it is older than this process.
     Joined(bool),
-    /// What it knows of servers and classes.
+    /// State that the sibling has learned about servers and classes.
     Snapshot(Box<Snapshot>),
-    /// Something about a key, to be put into the register as it stands.
+    /// A message about an idempotency key, to be applied to the key register unchanged.
     Key(Message),
-    /// It has gone, and with it all that it had in hand: these keys' attempts may run on until their time is over.
+    /// The link has ended, and with it all queries that the sibling had open. Attempts under their keys may run until
+    /// they time out.
     Gone,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum State {
-    /// Its greeting is awaited, since then.
-    Greeting(Micros),
-    /// It tells what it knew before, since then.
-    Telling(Micros),
-    /// It is one broker with us.
+    /// No greeting has arrived yet. Holds the time at which the link was opened.
+    AwaitingGreeting(Micros),
+    /// The sibling is sending the state that it had before. Holds the time at which its greeting arrived.
+    ReceivingState(Micros),
+    /// The sibling has sent all of its earlier state and reports each change.
     Joined,
-    /// It lives, and is not understood, or has stopped taking what is said. Nothing is known of what it sends.
-    Strange,
+    /// The sibling is alive, but it is not understood, is late, or could not be sent a message. What it sends to data
+    /// servers is unknown.
+    Unknown,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Link {
     state: State,
     reader: FrameReader,
-    /// Its process, as the system says.
+    /// Process id of the sibling, as the operating system reports it.
     pid: u32,
+    /// Greeting of the sibling; `None` until it has arrived.
     peer: Option<Greeting>,
-    /// What is not written yet, and since when something has been waiting.
-    waiting: VecDeque<u8>,
-    waiting_since: Micros,
-    /// Its queries in hand: the room, and the section that counts it.
-    open: BTreeMap<String, (u32, Option<String>)>,
+    /// Bytes that have not been written yet.
+    unsent: VecDeque<u8>,
+    /// Time of the last write, or at which the first of the unsent bytes was queued if that is later.
+    unsent_since: Micros,
+    /// Open queries of the sibling by request id: the units that each uses, and the section of the operator's file
+    /// that counts it.
+    open_queries: BTreeMap<String, (u32, Option<String>)>,
 }
 
-/// All neighbours of a process.
+/// All siblings of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Siblings {
-    me: LocalProcess,
-    times: Timeouts,
+    local: LocalProcess,
+    timeouts: Timeouts,
     links: BTreeMap<LinkId, Link>,
-    /// Siblings that live but have lost us, by their process: the newer goes on, the older holds back.
-    estranged: Vec<u32>,
-    /// Until when keys of unknown neighbours may come back.
+    /// Process ids of siblings that are alive but whose link has ended. Of two such processes the newer one goes on
+    /// and the older one stops sending.
+    disconnected: Vec<u32>,
+    /// Time until which keys of siblings with unknown state may be retried here.
     quarantine: Micros,
-    /// When the last turn began, and whether this one came so late after it that neighbours may have given us up.
-    turned: Micros,
-    stood: bool,
+    /// Time at which the current turn began.
+    last_turn_at: Micros,
+    /// Whether the current turn began so long after the one before it that siblings may have closed their links.
+    was_paused: bool,
 }
 
 impl Siblings {
-    /// None yet.
-    pub fn new(me: LocalProcess, times: Timeouts) -> Self {
+    /// Creates the state of a process that has no siblings yet.
+    pub fn new(local: LocalProcess, timeouts: Timeouts) -> Self {
         Siblings {
-            me,
-            times,
+            local,
+            timeouts,
             links: BTreeMap::new(),
-            estranged: Vec::new(),
+            disconnected: Vec::new(),
             quarantine: 0,
-            turned: 0,
-            stood: false,
+            last_turn_at: 0,
+            was_paused: false,
         }
     }
 
-    /// Keys of an unknown neighbour that has gone may come back for so long from now on: other settings hold.
+    /// Sets the time for which keys may be retried here after a sibling with unknown state has ended, when the
+    /// settings change. Quarantines that have already begun are not changed.
     pub fn set_quarantine(&mut self, time: Micros) {
-        self.times.quarantine = time;
+        self.timeouts.quarantine = time;
     }
 
-    /// A turn begins: before anything is read.
+    /// Marks the start of a turn. To be called before anything is read in it.
     pub fn begin_turn(&mut self, now: Micros) {
-        self.stood = !self.links.is_empty() && now.saturating_sub(self.turned) >= self.times.stall;
-        self.turned = now;
+        self.was_paused =
+            !self.links.is_empty() && now.saturating_sub(self.last_turn_at) >= self.timeouts.stall;
+        self.last_turn_at = now;
     }
 
-    /// A connection to a neighbour, the process of this number, is up. False: there are too many, and it is to be closed.
+    /// Adds a new connection to the sibling with this process id. Returns `false` if there are too many links; the
+    /// caller then closes the connection.
     pub fn connected(&mut self, now: Micros, id: LinkId, pid: u32) -> bool {
         if self.links.len() >= MAX_LINKS {
             return false;
         }
-        let waiting = encode_greeting(&self.me).into();
+        let unsent = encode_greeting(&self.local).into();
         let link = Link {
-            state: State::Greeting(now),
+            state: State::AwaitingGreeting(now),
             reader: FrameReader::default(),
             pid,
             peer: None,
-            waiting,
-            waiting_since: now,
-            open: BTreeMap::new(),
+            unsent,
+            unsent_since: now,
+            open_queries: BTreeMap::new(),
         };
         self.links.insert(id, link);
         true
     }
 
-    /// Takes what has come on a link. After an error nothing more is read from it; it stays open, since its closing is how
-    /// the neighbour's end is told from its silence.
+    /// Processes bytes that were received on a link. After an error all further bytes of the link are ignored, but it
+    /// stays open: only its closing distinguishes a sibling that has ended from one that is silent.
     pub fn received(
         &mut self,
         now: Micros,
         id: LinkId,
         bytes: &[u8],
     ) -> (Vec<Update>, Option<ProtocolError>) {
-        let mut news = Vec::new();
-        let fault = self.read(now, id, bytes, &mut news).err();
-        if fault.is_some()
+        let mut updates = Vec::new();
+        let error = self.read(now, id, bytes, &mut updates).err();
+        if error.is_some()
             && let Some(link) = self.links.get_mut(&id)
         {
-            link.state = State::Strange;
+            link.state = State::Unknown;
         }
-        (news, fault)
+        (updates, error)
     }
 
     fn read(
@@ -164,124 +174,131 @@
         now: Micros,
         id: LinkId,
         bytes: &[u8],
-        news: &mut Vec<Update>,
+        updates: &mut Vec<Update>,
     ) -> Result<(), ProtocolError> {
-        let Some(link) = self.links.get_mut(&id).filter(|l| l.state != State::Strange) else { return Ok(()) };
+        let Some(link) = self.links.get_mut(&id).filter(|l| l.state != State::Unknown) else { return Ok(()) };
         link.reader.feed(bytes);
-        if let State::Greeting(_) = link.state {
+        if let State::AwaitingGreeting(_) = link.state {
             let Some(greeting) = link.reader.read_greeting()? else { return Ok(()) };
-            // A process of another broker in the same place is none of ours.
-            if greeting.name != self.me.name {
+            // A process of another broker that uses the same directory is not a sibling.
+            if greeting.name != self.local.name {
                 return Err(ProtocolError::InvalidMessage);
             }
             link.peer = Some(greeting);
-            link.state = State::Telling(now);
+            link.state = State::ReceivingState(now);
         }
-        let older = link.peer.as_ref().is_some_and(|p| is_older(p, &self.me));
-        while let Some(word) = link.reader.read_message()? {
-            match word {
-                // One that has just come knows nothing that is not known here.
-                Message::Snapshot(recall) if older => news.push(Update::Snapshot(recall)),
+        let older = link.peer.as_ref().is_some_and(|p| is_older(p, &self.local));
+        while let Some(message) = link.reader.read_message()? {
+            match message {
+                // A newer sibling has learned nothing that is not known here.
+                Message::Snapshot(snapshot) if older => updates.push(Update::Snapshot(snapshot)),
                 Message::Snapshot(_) => {}
                 Message::StateSent => {
                     link.state = State::Joined;
-                    news.push(Update::Joined(older));
+                    updates.push(Update::Joined(older));
                 }
-                Message::Opened { id, units, owner } => _ = link.open.insert(id, (units, owner)),
-                Message::Closed { id } => _ = link.open.remove(&id),
-                key => news.push(Update::Key(key)),
+                Message::Opened { id, units, owner } => _ = link.open_queries.insert(id, (units, owner)),
+                Message::Closed { id } => _ = link.open_queries.remove(&id),
+                key_message => updates.push(Update::Key(key_message)),
             }
         }
         Ok(())
     }
 
-    /// Tells one neighbour something. False: it cannot be said, being too long or too much with what waits; from now on the
-    /// neighbour counts as one of which nothing is known.
-    pub fn send(&mut self, now: Micros, id: LinkId, word: &Message) -> bool {
-        let Some(link) = self.links.get_mut(&id).filter(|l| l.state != State::Strange) else { return true };
-        match encode_message(word) {
-            Some(frame) if link.waiting.len() + frame.len() <= MAX_UNSENT_BYTES => {
-                if link.waiting.is_empty() {
-                    link.waiting_since = now;
+    /// Queues a message to one sibling. Returns `false` if the message is too long or does not fit into the queue; from
+    /// then on the state of this sibling counts as unknown.
+    pub fn send(&mut self, now: Micros, id: LinkId, message: &Message) -> bool {
+        let Some(link) = self.links.get_mut(&id).filter(|l| l.state != State::Unknown) else { return true };
+        match encode_message(message) {
+            Some(frame) if link.unsent.len() + frame.len() <= MAX_UNSENT_BYTES => {
+                if link.unsent.is_empty() {
+                    link.unsent_since = now;
                 }
-                link.waiting.extend(frame);
+                link.unsent.extend(frame);
                 true
             }
-            // What cannot be said is not known to it.
+            // The sibling does not learn what could not be queued.
             _ => {
-                link.state = State::Strange;
+                link.state = State::Unknown;
                 false
             }
         }
     }
 
-    /// The links whose neighbours have greeted: each is owed all that is known, once, and [`Message::StateSent`] after it.
+    /// Returns the links whose greeting has arrived. Each of them is to be sent all known state once, followed by
+    /// [`Message::StateSent`].
     pub fn greeted_links(&self) -> Vec<LinkId> {
         self.links.iter().filter(|(_, l)| l.peer.is_some()).map(|(id, _)| *id).collect()
     }
 
-    /// What is to be written to a link next.
+    /// Returns the bytes that are to be written to a link next.
     pub fn unsent(&mut self, id: LinkId) -> &[u8] {
         match self.links.get_mut(&id) {
-            Some(link) => link.waiting.make_contiguous(),
+            Some(link) => link.unsent.make_contiguous(),
             None => &[],
         }
     }
 
-    /// So much of it is written.
+    /// Removes this number of bytes from the start of the unsent bytes of a link, after they have been written.
     pub fn written(&mut self, now: Micros, id: LinkId, bytes: usize) {
         if let Some(link) = self.links.get_mut(&id) {
-            link.waiting.drain(..bytes.min(link.waiting.len()));
-            link.waiting_since = now;
+            link.unsent.drain(..bytes.min(link.unsent.len()));
+            link.unsent_since = now;
         }
     }
 
-    /// A link has ended; `alive`: its process runs on. All that came on it has been read before.
+    /// Removes a link that has ended, after all that arrived on it has been read. `alive` says whether the process of
+    /// the sibling is still running.
     pub fn link_lost(&mut self, now: Micros, id: LinkId, alive: bool) -> Vec<Update> {
         let Some(link) = self.links.remove(&id) else { return Vec::new() };
-        let newer = link.peer.as_ref().is_some_and(|p| !is_older(p, &self.me));
+        let newer = link.peer.as_ref().is_some_and(|p| !is_older(p, &self.local));
         let unknown = match link.state {
-            // One that gave us up, as we stood still, has sent what it could not tell.
-            State::Joined => self.stood,
-            // One that has come after us sends nothing before it has said so.
-            State::Telling(_) => !newer,
-            State::Greeting(_) | State::Strange => true,
+            // A sibling that closed the link while this process was paused has sent parts that it could not report.
+            State::Joined => self.was_paused,
+            // A newer sibling sends no part before it has reported it.
+            State::ReceivingState(_) => !newer,
+            State::AwaitingGreeting(_) | State::Unknown => true,
         };
         if alive {
-            self.estranged.push(link.pid);
-            // The newer one knows all that the older one sent, since that holds back from now on. The older one cannot
-            // know what the newer one goes on to send.
+            self.disconnected.push(link.pid);
+            // The newer process knows everything that the older one sent, because the older one stops sending now.
+            // The older process cannot know what the newer one goes on to send.
             if unknown || newer {
                 self.quarantine = Micros::MAX;
             }
         } else if unknown {
-            self.quarantine = self.quarantine.max(now.saturating_add(self.times.quarantine));
+            self.quarantine = self.quarantine.max(now.saturating_add(self.timeouts.quarantine));
         }
         vec![Update::Gone]
     }
 
-    /// Processes that have lost us and lived on: to be looked after, until [`Siblings::process_ended`] is told of each.
+    /// Returns the process ids of siblings that are alive although their link has ended. The caller watches them and
+    /// calls [`Siblings::process_ended`] for each.
     pub fn disconnected(&self) -> &[u32] {
-        &self.estranged
+        &self.disconnected
     }
 
-    /// An estranged process has ended.
+    /// Removes a disconnected sibling whose process has ended.
     pub fn process_ended(&mut self, now: Micros, pid: u32) {
-        self.estranged.retain(|p| *p != pid);
-        if self.estranged.is_empty() && self.quarantine == Micros::MAX {
-            self.quarantine = now.saturating_add(self.times.quarantine);
+        self.disconnected.retain(|p| *p != pid);
+        if self.disconnected.is_empty() && self.quarantine == Micros::MAX {
+            self.quarantine = now.saturating_add(self.timeouts.quarantine);
         }
     }
 
-    /// Moves on with time. Links that are given up are to be closed.
+    /// Applies the time limits. Returns the links that the caller is to close.
     pub fn tick(&mut self, now: Micros) -> Vec<LinkId> {
         let mut closed = Vec::new();
         for (id, link) in &mut self.links {
             match link.state {
-                State::Greeting(since) | State::Telling(since) if now >= since + self.times.greeting => {
-                    link.state = State::Strange;
+                State::AwaitingGreeting(since) | State::ReceivingState(since)
+                    if now >= since + self.timeouts.greeting =>
+                {
+                    link.state = State::Unknown;
                 }
-                State::Joined if !link.waiting.is_empty() && now >= link.waiting_since + self.times.stall => {
+                State::Joined
+                    if !link.unsent.is_empty() && now >= link.unsent_since + self.timeouts.stall =>
+                {
                     closed.push(*id);
                 }
                 _ => {}
@@ -290,67 +307,70 @@
         closed
     }
 
-    /// When [`Siblings::tick`] is due.
+    /// Returns the time at which the next turn with [`Siblings::tick`] is due, or `None` if there are no links.
     pub fn due(&self) -> Option<Micros> {
         let due = |l: &Link| match l.state {
-            State::Greeting(since) | State::Telling(since) => Some(since + self.times.greeting),
-            State::Joined if !l.waiting.is_empty() => Some(l.waiting_since + self.times.stall),
+            State::AwaitingGreeting(since) | State::ReceivingState(since) => {
+                Some(since + self.timeouts.greeting)
+            }
+            State::Joined if !l.unsent.is_empty() => Some(l.unsent_since + self.timeouts.stall),
             _ => None,
         };
-        // A neighbour must not think that we stand still, only because there is nothing to do.
-        let turn = (!self.links.is_empty()).then_some(self.turned + self.times.stall / 4);
+        // An idle process still runs a turn within the stall time, so that its next turn does not count as late.
+        let turn = (!self.links.is_empty()).then_some(self.last_turn_at + self.timeouts.stall / 4);
         self.links.values().filter_map(due).chain(turn).min()
     }
 
-    /// Whether a part of a keyed class may be sent now.
+    /// Returns whether a part of a keyed class may be sent now.
     pub fn keyed_send(&self, now: Micros) -> KeyedSend {
-        // One that has come after us sends nothing before it has heard all that we know.
-        let heard = |l: &Link| match l.state {
+        // A newer sibling sends nothing before it has received all that is known here.
+        let reported = |l: &Link| match l.state {
             State::Joined => true,
-            State::Telling(_) => l.peer.as_ref().is_some_and(|p| !is_older(p, &self.me)),
-            State::Greeting(_) | State::Strange => false,
+            State::ReceivingState(_) => l.peer.as_ref().is_some_and(|p| !is_older(p, &self.local)),
+            State::AwaitingGreeting(_) | State::Unknown => false,
         };
-        let known = |l: &Link| heard(l) && l.waiting.is_empty();
-        if !self.links.values().all(known) {
+        let synchronized = |l: &Link| reported(l) && l.unsent.is_empty();
+        if !self.links.values().all(synchronized) {
             return KeyedSend::Wait(Micros::MAX);
         }
         if now < self.quarantine { KeyedSend::Wait(self.quarantine) } else { KeyedSend::Allowed }
     }
 
-    /// How many processes are this broker, as far as anybody knows.
+    /// Returns the number of processes of this broker that are known to be alive, including this one.
     pub fn process_count(&self) -> u32 {
-        1 + self.links.len() as u32 + self.estranged.len() as u32
+        1 + self.links.len() as u32 + self.disconnected.len() as u32
     }
 
-    /// Whether a process that came after us is one broker with us, and so serves.
+    /// Returns whether a newer sibling has joined and therefore serves.
     pub fn has_newer(&self) -> bool {
-        let newer = |l: &Link| l.peer.as_ref().is_some_and(|p| !is_older(p, &self.me));
+        let newer = |l: &Link| l.peer.as_ref().is_some_and(|p| !is_older(p, &self.local));
         self.links.values().any(|l| l.state == State::Joined && newer(l))
     }
 
-    /// Whether a neighbour has a request of this id in hand.
+    /// Returns whether a sibling has an open query with this request id.
     pub fn has_open_query(&self, request: &str) -> bool {
-        self.links.values().any(|l| l.open.contains_key(request))
+        self.links.values().any(|l| l.open_queries.contains_key(request))
     }
 
-    /// The room that neighbours' queries take.
+    /// Returns the number of units (queries and parts counted together) that open queries of siblings use.
     pub fn open_units(&self) -> usize {
-        self.links.values().flat_map(|l| l.open.values()).map(|(units, _)| *units as usize).sum()
+        self.links.values().flat_map(|l| l.open_queries.values()).map(|(units, _)| *units as usize).sum()
     }
 
-    /// Siblings' queries that count for a section of the operator's file.
+    /// Returns the number of open queries of siblings that count for this section of the operator's file.
     pub fn open_queries_of(&self, owner: &str) -> u32 {
-        let queries = self.links.values().flat_map(|l| l.open.values());
+        let queries = self.links.values().flat_map(|l| l.open_queries.values());
         queries.filter(|(_, o)| o.as_deref() == Some(owner)).count() as u32
     }
 
-    /// Whether every neighbour has been heard out, or been given up: a process that starts waits for this.
+    /// Returns whether every sibling has either sent all of its earlier state or missed its time limit. A process that
+    /// starts waits for this.
     pub fn is_settled(&self) -> bool {
-        self.links.values().all(|l| matches!(l.state, State::Joined | State::Strange))
+        self.links.values().all(|l| matches!(l.state, State::Joined | State::Unknown))
     }
 }
 
-/// Who started first; of two in one moment, the one of the lower number.
+/// Returns whether `a` started before `b`. Of two that started at the same time, the lower process id is the older.
 fn is_older(a: &Greeting, b: &Greeting) -> bool {
     (a.started, a.pid) < (b.started, b.pid)
 }
@@ -360,40 +380,44 @@
     use super::*;
     use crate::wire::KeyOwner;
 
-    fn side(started: Micros) -> Siblings {
-        let me = Greeting { name: "n0".into(), started, pid: started as u32 };
-        Siblings::new(me, Timeouts::default())
+    fn process(started: Micros) -> Siblings {
+        let local = Greeting { name: "n0".into(), started, pid: started as u32 };
+        Siblings::new(local, Timeouts::default())
     }
 
-    /// Carries what waits on one side's link to the other; what came of it there.
-    fn carry(now: Micros, from: &mut Siblings, to: &mut Siblings) -> Vec<Update> {
+    /// Moves the unsent bytes of one process to the other, and returns the updates that they cause there.
+    fn deliver(now: Micros, from: &mut Siblings, to: &mut Siblings) -> Vec<Update> {
         let bytes = from.unsent(1).to_vec();
         from.written(now, 1, bytes.len());
-        let (news, fault) = to.received(now, 1, &bytes);
-        assert_eq!(fault, None);
-        news
+        let (updates, error) = to.received(now, 1, &bytes);
+        assert_eq!(error, None);
+        updates
     }
 
     fn joined() -> (Siblings, Siblings) {
-        let (mut old, mut new) = (side(1), side(2));
+        let (mut old, mut new) = (process(1), process(2));
         assert!(old.connected(10, 1, 2) && new.connected(10, 1, 2));
-        assert!(carry(10, &mut old, &mut new).is_empty() && carry(10, &mut new, &mut old).is_empty());
-        for side in [&mut old, &mut new] {
-            assert_eq!(side.greeted_links(), [1]);
-            side.send(10, 1, &Message::StateSent);
+        assert!(deliver(10, &mut old, &mut new).is_empty() && deliver(10, &mut new, &mut old).is_empty());
+        for process in [&mut old, &mut new] {
+            assert_eq!(process.greeted_links(), [1]);
+            process.send(10, 1, &Message::StateSent);
         }
-        assert_eq!(carry(10, &mut old, &mut new), [Update::Joined(true)]);
-        assert_eq!(carry(10, &mut new, &mut old), [Update::Joined(false)]);
+        assert_eq!(deliver(10, &mut old, &mut new), [Update::Joined(true)]);
+        assert_eq!(deliver(10, &mut new, &mut old), [Update::Joined(false)]);
         assert_eq!((old.keyed_send(10), new.keyed_send(10)), (KeyedSend::Allowed, KeyedSend::Allowed));
         (old, new)
     }
 
     #[test]
-    fn what_is_in_hand_is_in_hand_of_both() {
+    fn a_query_open_in_one_process_counts_in_the_other() {
         let (mut old, mut new) = joined();
         old.send(11, 1, &Message::Opened { id: "q".into(), units: 4, owner: Some("defaults".into()) });
-        assert_eq!(old.keyed_send(11), KeyedSend::Wait(Micros::MAX), "it does not know yet");
-        carry(11, &mut old, &mut new);
+        assert_eq!(
+            old.keyed_send(11),
+            KeyedSend::Wait(Micros::MAX),
+            "the new process has not received the message yet"
+        );
+        deliver(11, &mut old, &mut new);
         assert!(new.has_open_query("q") && !new.has_open_query("r"));
         assert_eq!(
             (
@@ -405,30 +429,30 @@
             (4, 1, 0, 2)
         );
         old.send(12, 1, &Message::Closed { id: "q".into() });
-        carry(12, &mut old, &mut new);
+        deliver(12, &mut old, &mut new);
         assert_eq!((new.has_open_query("q"), new.open_units()), (false, 0));
     }
 
     #[test]
-    fn the_new_one_goes_on_when_the_old_one_has_gone() {
+    fn the_new_process_goes_on_after_the_old_one_ended() {
         let (_, mut new) = joined();
         assert_eq!(new.link_lost(20, 1, false), [Update::Gone]);
         assert_eq!((new.keyed_send(20), new.process_count()), (KeyedSend::Allowed, 1));
     }
 
-    /// Settings with longer windows, or more patient clients, come into force while it runs.
+    /// New settings with longer windows, or with clients that retry for longer, take effect while the process runs.
     #[test]
-    fn the_time_of_doubt_is_that_of_the_settings_in_force() {
-        let mut side = side(1);
-        side.connected(0, 1, 2);
-        side.set_quarantine(90 * SECOND);
-        side.link_lost(10, 1, false);
-        assert_eq!(side.keyed_send(20 * SECOND), KeyedSend::Wait(10 + 90 * SECOND));
+    fn the_quarantine_is_that_of_the_current_settings() {
+        let mut siblings = process(1);
+        siblings.connected(0, 1, 2);
+        siblings.set_quarantine(90 * SECOND);
+        siblings.link_lost(10, 1, false);
+        assert_eq!(siblings.keyed_send(20 * SECOND), KeyedSend::Wait(10 + 90 * SECOND));
     }
 
-    /// Both live and have lost each other: one goes on.
+    /// Both processes are alive and have lost their link: only one of them goes on.
     #[test]
-    fn of_two_that_have_lost_each_other_the_older_holds_back() {
+    fn the_older_of_two_disconnected_processes_stops_sending() {
         let (mut old, mut new) = joined();
         old.link_lost(20, 1, true);
         new.link_lost(20, 1, true);
@@ -442,78 +466,78 @@
         assert_eq!((old.keyed_send(31), old.keyed_send(until)), (KeyedSend::Wait(until), KeyedSend::Allowed));
     }
 
-    /// A neighbour of another version, noise, or silence: nothing is known of what it sends while it lives, nor what its
-    /// clients bring here afterwards.
+    /// After a greeting of another version, a greeting of another broker, noise or silence, it is unknown what the
+    /// sibling sends while it is alive and which keys its clients retry here afterwards.
     #[test]
-    fn what_is_not_understood_counts_against_us() {
-        let other = |bytes: Option<&[u8]>| {
-            let mut side = side(1);
-            side.connected(0, 1, 2);
+    fn a_sibling_that_is_not_understood_blocks_keyed_sends() {
+        let with_sibling = |bytes: Option<&[u8]>| {
+            let mut siblings = process(1);
+            siblings.connected(0, 1, 2);
             if let Some(bytes) = bytes {
-                assert!(side.received(1, 1, bytes).1.is_some());
+                assert!(siblings.received(1, 1, bytes).1.is_some());
             }
-            side.tick(Timeouts::default().greeting);
-            side
+            siblings.tick(Timeouts::default().greeting);
+            siblings
         };
-        let mut next = encode_greeting(&Greeting { name: "n0".into(), started: 9, pid: 9 });
-        next[9] = 7;
-        let foreign = encode_greeting(&Greeting { name: "n1".into(), started: 9, pid: 9 });
-        for bytes in [None, Some(next.as_slice()), Some(&foreign), Some(b"\0\0\0\x07garbage")] {
-            let mut side = other(bytes);
+        let mut other_version = encode_greeting(&Greeting { name: "n0".into(), started: 9, pid: 9 });
+        other_version[9] = 7;
+        let other_broker = encode_greeting(&Greeting { name: "n1".into(), started: 9, pid: 9 });
+        for bytes in [None, Some(other_version.as_slice()), Some(&other_broker), Some(b"\0\0\0\x07garbage")] {
+            let mut siblings = with_sibling(bytes);
             assert_eq!(
-                (side.keyed_send(SECOND), side.is_settled()),
+                (siblings.keyed_send(SECOND), siblings.is_settled()),
                 (KeyedSend::Wait(Micros::MAX), true),
                 "{bytes:?}"
             );
-            side.link_lost(2 * SECOND, 1, false);
+            siblings.link_lost(2 * SECOND, 1, false);
             let until = 2 * SECOND + Timeouts::default().quarantine;
             assert_eq!(
-                (side.keyed_send(until - 1), side.keyed_send(until)),
+                (siblings.keyed_send(until - 1), siblings.keyed_send(until)),
                 (KeyedSend::Wait(until), KeyedSend::Allowed)
             );
         }
     }
 
     #[test]
-    fn one_that_takes_nothing_is_given_up() {
+    fn the_link_to_a_sibling_that_reads_nothing_is_closed() {
         let (mut old, _) = joined();
         old.send(100, 1, &Message::Closed { id: "q".into() });
         let stall = Timeouts::default().stall;
         assert!(old.tick(99 + stall).is_empty());
         assert_eq!(old.tick(100 + stall), [1]);
-        // And nothing is let pile up: what does not fit was not told.
+        // The unsent bytes are limited: a message that does not fit is not queued.
         let (mut old, _) = joined();
         let long = Message::KeyOpened { key: "k".repeat(1 << 19), until: 0, key_owner: KeyOwner::default() };
-        let unsaid = (0..MAX_UNSENT_BYTES / (1 << 19) + 1).filter(|_| !old.send(100, 1, &long)).count();
-        assert_eq!(unsaid, 1, "the one that does not fit is told of, once");
+        let rejected = (0..MAX_UNSENT_BYTES / (1 << 19) + 1).filter(|_| !old.send(100, 1, &long)).count();
+        assert_eq!(rejected, 1, "only the first message that does not fit is reported");
         assert!(old.unsent(1).len() <= MAX_UNSENT_BYTES);
         assert_eq!(
             (old.keyed_send(100), old.links[&1].state.clone()),
-            (KeyedSend::Wait(Micros::MAX), State::Strange)
+            (KeyedSend::Wait(Micros::MAX), State::Unknown)
         );
     }
 
-    /// One that dies before it has joined has sent nothing, if it came after us.
+    /// A newer process that ends before it has joined has sent nothing.
     #[test]
-    fn a_new_one_that_dies_at_once_leaves_nothing_behind() {
-        let (mut old, mut new) = (side(1), side(2));
+    fn a_new_process_that_ends_before_joining_causes_no_quarantine() {
+        let (mut old, mut new) = (process(1), process(2));
         assert!(old.connected(10, 1, 2) && new.connected(10, 1, 2));
-        carry(10, &mut new, &mut old);
+        deliver(10, &mut new, &mut old);
         old.link_lost(20, 1, false);
         assert_eq!((old.keyed_send(20), old.process_count()), (KeyedSend::Allowed, 1));
-        carry(10, &mut old, &mut new);
+        deliver(10, &mut old, &mut new);
         new.link_lost(20, 1, false);
         assert_eq!(
             new.keyed_send(20),
             KeyedSend::Wait(20 + Timeouts::default().quarantine),
-            "what the old one sent is not known"
+            "it is unknown what the old process sent"
         );
     }
 
     #[test]
-    fn a_third_process_is_heard_and_a_crowd_is_not() {
-        let mut side = side(1);
-        assert!((0..MAX_LINKS as u64).all(|id| side.connected(0, id, 2)));
-        assert!(!side.connected(0, 99, 2));
+    fn connections_beyond_the_maximum_are_rejected() {
+        let mut siblings = process(1);
+        assert!((0..MAX_LINKS as u64).all(|id| siblings.connected(0, id, 2)));
+        assert!(!siblings.connected(0, 99, 2));
     }
 }
