--- a/crates/handover/src/siblings.rs
+++ b/crates/handover/src/siblings.rs
@@ -1,4 +1,5 @@
-//! What one process of a broker knows of its siblings, and whether it may therefore send parts of keyed classes.
+//! What one process of a broker knows of its siblings, and whether it may therefore send parts of keyed
+//! classes.
 
 use crate::wire::{FrameReader, Greeting, Message, ProtocolError, encode_greeting, encode_message};
 use plover_model::snapshot::Snapshot;
@@ -10,7 +11,8 @@
 
 /// Maximum number of links at a time. One is usual, two if a third process starts during a handover.
 pub const MAX_LINKS: usize = 4;
-/// Maximum number of bytes waiting to be written to a sibling: the longest message and the keys of all open queries.
+/// Maximum number of bytes waiting to be written to a sibling: the longest message and the keys of all open
+/// queries.
 const MAX_UNSENT_BYTES: usize = 32 << 20;
 
 /// Identity of this process, which it sends to each sibling as its greeting.
@@ -23,8 +25,8 @@
     pub greeting: Micros,
     /// A link is closed if the sibling reads none of the unsent bytes for this time.
     pub stall: Micros,
-    /// Time after the end of a sibling with unknown state during which its keys may be retried here: the window in
-    /// which data servers drop repeats, and the longest time for which a client retries.
+    /// Time after the end of a sibling with unknown state during which its keys may be retried here: the
+    /// window in which data servers drop repeats, and the longest time for which a client retries.
     pub quarantine: Micros,
 }
 
@@ -52,8 +54,8 @@
     Snapshot(Box<Snapshot>),
     /// A message about an idempotency key, to be applied to the key register unchanged.
     Key(Message),
-    /// The link has ended, and with it all queries that the sibling had open. Attempts under their keys may run until
-    /// they time out.
+    /// The link has ended, and with it all queries that the sibling had open. Attempts under their keys may
+    /// run until they time out.
     Gone,
 }
 
@@ -65,8 +67,8 @@
     ReceivingState(Micros),
     /// The sibling has sent all of its earlier state and reports each change.
     Joined,
-    /// The sibling is alive, but it is not understood, is late, or could not be sent a message. What it sends to data
-    /// servers is unknown.
+    /// The sibling is alive, but it is not understood, is late, or could not be sent a message. What it sends
+    /// to data servers is unknown.
     Unknown,
 }
 
@@ -82,8 +84,8 @@
     unsent: VecDeque<u8>,
     /// Time of the last write, or at which the first of the unsent bytes was queued if that is later.
     unsent_since: Micros,
-    /// Open queries of the sibling by request id: the units that each uses, and the section of the operator's file
-    /// that counts it.
+    /// Open queries of the sibling by request id: the units that each uses, and the section of the operator's
+    /// file that counts it.
     open_queries: BTreeMap<String, (u32, Option<String>)>,
 }
 
@@ -93,14 +95,15 @@
     local: LocalProcess,
     timeouts: Timeouts,
     links: BTreeMap<LinkId, Link>,
-    /// Process ids of siblings that are alive but whose link has ended. Of two such processes the newer one goes on
-    /// and the older one stops sending.
+    /// Process ids of siblings that are alive but whose link has ended. Of two such processes the newer one
+    /// goes on and the older one stops sending.
     disconnected: Vec<u32>,
     /// Time until which keys of siblings with unknown state may be retried here.
     quarantine: Micros,
     /// Time at which the current turn began.
     last_turn_at: Micros,
-    /// Whether the current turn began so long after the one before it that siblings may have closed their links.
+    /// Whether the current turn began so long after the one before it that siblings may have closed their
+    /// links.
     was_paused: bool,
 }
 
@@ -118,8 +121,8 @@
         }
     }
 
-    /// Sets the time for which keys may be retried here after a sibling with unknown state has ended, when the
-    /// settings change. Quarantines that have already begun are not changed.
+    /// Sets the time for which keys may be retried here after a sibling with unknown state has ended, when
+    /// the settings change. Quarantines that have already begun are not changed.
     pub fn set_quarantine(&mut self, time: Micros) {
         self.timeouts.quarantine = time;
     }
@@ -131,8 +134,8 @@
         self.last_turn_at = now;
     }
 
-    /// Adds a new connection to the sibling with this process id. Returns `false` if there are too many links; the
-    /// caller then closes the connection.
+    /// Adds a new connection to the sibling with this process id. Returns `false` if there are too many
+    /// links; the caller then closes the connection.
     pub fn connected(&mut self, now: Micros, id: LinkId, pid: u32) -> bool {
         if self.links.len() >= MAX_LINKS {
             return false;
@@ -151,8 +154,9 @@
         true
     }
 
-    /// Processes bytes that were received on a link. After an error all further bytes of the link are ignored, but it
-    /// stays open: only its closing distinguishes a sibling that has ended from one that is silent.
+    /// Processes bytes that were received on a link. After an error all further bytes of the link are
+    /// ignored, but it stays open: only its closing distinguishes a sibling that has ended from one that is
+    /// silent.
     pub fn received(
         &mut self,
         now: Micros,
@@ -205,8 +209,8 @@
         Ok(())
     }
 
-    /// Queues a message to one sibling. Returns `false` if the message is too long or does not fit into the queue; from
-    /// then on the state of this sibling counts as unknown.
+    /// Queues a message to one sibling. Returns `false` if the message is too long or does not fit into the
+    /// queue; from then on the state of this sibling counts as unknown.
     pub fn send(&mut self, now: Micros, id: LinkId, message: &Message) -> bool {
         let Some(link) = self.links.get_mut(&id).filter(|l| l.state != State::Unknown) else { return true };
         match encode_message(message) {
@@ -225,8 +229,8 @@
         }
     }
 
-    /// Returns the links whose greeting has arrived. Each of them is to be sent all known state once, followed by
-    /// [`Message::StateSent`].
+    /// Returns the links whose greeting has arrived. Each of them is to be sent all known state once,
+    /// followed by [`Message::StateSent`].
     pub fn greeted_links(&self) -> Vec<LinkId> {
         self.links.iter().filter(|(_, l)| l.peer.is_some()).map(|(id, _)| *id).collect()
     }
@@ -239,7 +243,8 @@
         }
     }
 
-    /// Removes this number of bytes from the start of the unsent bytes of a link, after they have been written.
+    /// Removes this number of bytes from the start of the unsent bytes of a link, after they have been
+    /// written.
     pub fn written(&mut self, now: Micros, id: LinkId, bytes: usize) {
         if let Some(link) = self.links.get_mut(&id) {
             link.unsent.drain(..bytes.min(link.unsent.len()));
@@ -247,13 +252,14 @@
         }
     }
 
-    /// Removes a link that has ended, after all that arrived on it has been read. `alive` says whether the process of
-    /// the sibling is still running.
+    /// Removes a link that has ended, after all that arrived on it has been read. `alive` says whether the
+    /// process of the sibling is still running.
     pub fn link_lost(&mut self, now: Micros, id: LinkId, alive: bool) -> Vec<Update> {
         let Some(link) = self.links.remove(&id) else { return Vec::new() };
         let newer = link.peer.as_ref().is_some_and(|p| !is_older(p, &self.local));
         let unknown = match link.state {
-            // A sibling that closed the link while this process was paused has sent parts that it could not report.
+            // A sibling that closed the link while this process was paused has sent parts that it could not
+            // report.
             State::Joined => self.was_paused,
             // A newer sibling sends no part before it has reported it.
             State::ReceivingState(_) => !newer,
@@ -261,8 +267,8 @@
         };
         if alive {
             self.disconnected.push(link.pid);
-            // The newer process knows everything that the older one sent, because the older one stops sending now.
-            // The older process cannot know what the newer one goes on to send.
+            // The newer process knows everything that the older one sent, because the older one stops sending
+            // now. The older process cannot know what the newer one goes on to send.
             if unknown || newer {
                 self.quarantine = Micros::MAX;
             }
@@ -272,8 +278,8 @@
         vec![Update::Gone]
     }
 
-    /// Returns the process ids of siblings that are alive although their link has ended. The caller watches them and
-    /// calls [`Siblings::process_ended`] for each.
+    /// Returns the process ids of siblings that are alive although their link has ended. The caller watches
+    /// them and calls [`Siblings::process_ended`] for each.
     pub fn disconnected(&self) -> &[u32] {
         &self.disconnected
     }
@@ -307,7 +313,8 @@
         closed
     }
 
-    /// Returns the time at which the next turn with [`Siblings::tick`] is due, or `None` if there are no links.
+    /// Returns the time at which the next turn with [`Siblings::tick`] is due, or `None` if there are no
+    /// links.
     pub fn due(&self) -> Option<Micros> {
         let due = |l: &Link| match l.state {
             State::AwaitingGreeting(since) | State::ReceivingState(since) => {
@@ -316,7 +323,8 @@
             State::Joined if !l.unsent.is_empty() => Some(l.unsent_since + self.timeouts.stall),
             _ => None,
         };
-        // An idle process still runs a turn within the stall time, so that its next turn does not count as late.
+        // An idle process still runs a turn within the stall time, so that its next turn does not count as
+        // late.
         let turn = (!self.links.is_empty()).then_some(self.last_turn_at + self.timeouts.stall / 4);
         self.links.values().filter_map(due).chain(turn).min()
     }
@@ -363,14 +371,15 @@
         queries.filter(|(_, o)| o.as_deref() == Some(owner)).count() as u32
     }
 
-    /// Returns whether every sibling has either sent all of its earlier state or missed its time limit. A process that
-    /// starts waits for this.
+    /// Returns whether every sibling has either sent all of its earlier state or missed its time limit. A
+    /// process that starts waits for this.
     pub fn is_settled(&self) -> bool {
         self.links.values().all(|l| matches!(l.state, State::Joined | State::Unknown))
     }
 }
 
-/// Returns whether `a` started before `b`. Of two that started at the same time, the lower process id is the older.
+/// Returns whether `a` started before `b`. Of two that started at the same time, the lower process id is the
+/// older.
 fn is_older(a: &Greeting, b: &Greeting) -> bool {
     (a.started, a.pid) < (b.started, b.pid)
 }
@@ -440,7 +449,8 @@
         assert_eq!((new.keyed_send(20), new.process_count()), (KeyedSend::Allowed, 1));
     }
 
-    /// New settings with longer windows, or with clients that retry for longer, take effect while the process runs.
+    /// New settings with longer windows, or with clients that retry for longer, take effect while the process
+    /// runs.
     #[test]
     fn the_quarantine_is_that_of_the_current_settings() {
         let mut siblings = process(1);
@@ -466,8 +476,8 @@
         assert_eq!((old.keyed_send(31), old.keyed_send(until)), (KeyedSend::Wait(until), KeyedSend::Allowed));
     }
 
-    /// After a greeting of another version, a greeting of another broker, noise or silence, it is unknown what the
-    /// sibling sends while it is alive and which keys its clients retry here afterwards.
+    /// After a greeting of another version, a greeting of another broker, noise or silence, it is unknown
+    /// what the sibling sends while it is alive and which keys its clients retry here afterwards.
     #[test]
     fn a_sibling_that_is_not_understood_blocks_keyed_sends() {
         let with_sibling = |bytes: Option<&[u8]>| {
--- a/crates/handover/src/wire.rs
+++ b/crates/handover/src/wire.rs
@@ -1,8 +1,9 @@
-//! What neighbours say to each other.
+//! Messages that processes of one broker send to each other, and their encoding.
 //!
-//! A frame is the length of the rest (four bytes, most significant first, [`MAX_FRAME_LENGTH`] at the most) and the rest. The first
-//! frame of each side is its greeting: [`MAGIC`], the version (two bytes, most significant first), and the rest as that
-//! version has it. All later frames hold one [`Message`] as postcard encodes it (postcard.jamesmunns.com, wire format 1.0).
+//! A frame is the length of its body (four bytes, most significant first, at most [`MAX_FRAME_LENGTH`]) and
+//! the body. The first frame of each side is its greeting: [`MAGIC`], the version (two bytes, most
+//! significant first), and then whatever that version defines. Each later frame holds one [`Message`] in
+//! postcard encoding (postcard.jamesmunns.com, wire format 1.0).
 
 use plover_model::query::Proof;
 use plover_model::snapshot::Snapshot;
@@ -10,162 +11,165 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The first bytes of a greeting.
+/// First bytes of the body of a greeting.
 pub const MAGIC: [u8; 4] = *b"PLVH";
-/// The version that is spoken here.
+/// Protocol version of this process.
 pub const VERSION: u16 = 1;
-/// Longest rest of a frame, in bytes: what is known of 10,000 servers of which all are cold and each was sent 64 calls.
+/// Maximum length of the body of a frame, in bytes. A snapshot of 10,000 servers fits, even if all of them
+/// are cold and each was sent 64 calls.
 pub const MAX_FRAME_LENGTH: usize = 16 << 20;
 
-/// Who says hello.
+/// Identity of a process, sent as the first frame of a link.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Greeting {
-    /// The broker's name: only processes of one broker are one broker.
+    /// Name of the broker. Only processes with the same name are siblings.
     pub name: String,
-    /// When the process started, on the machine's monotonic clock.
+    /// Start time of the process on the machine's monotonic clock.
     pub started: Micros,
-    /// The process, by the system's number.
+    /// Process id.
     pub pid: u32,
 }
 
-/// KeyOwner a key is. It stands last in its words, where processes before this one had nothing: they pass it over, and what
-/// they say is read as nobody's.
+/// Owner of an idempotency key. It is the last field of its messages, and processes of earlier releases do
+/// not have it: they ignore it when they receive it, and their own messages are read with a default owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeyOwner {
-    /// The tenant and the class; empty: not told, it may be anybody's.
+    /// Tenant and class of the key. Empty if it was not sent; the key may then belong to any tenant and
+    /// class.
     pub owner: String,
-    /// For how long data servers drop its repeats, if that is known.
+    /// Time in microseconds for which data servers drop repeats of the key; `None` if it is unknown.
     pub window: Option<Micros>,
 }
 
-/// What a word lacks of a process that does not tell whose a key is.
-const NOBODYS: [u8; 2] = [0, 0];
+/// Encoded default [`KeyOwner`], which is missing from the messages of a process that does not send the owner
+/// of a key.
+const DEFAULT_KEY_OWNER: [u8; 2] = [0, 0];
 
-/// What is told after the greetings.
+/// A message that follows the greetings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// What is known of servers and classes.
+    /// State that the sender has learned about servers and classes.
     #[serde(rename = "Recall")]
     Snapshot(Box<Snapshot>),
-    /// All that was known at the greeting has been told.
+    /// The sender has sent all state that it had at the time of the greeting.
     #[serde(rename = "Told")]
     StateSent,
-    /// A query is in hand.
+    /// The sender has accepted a query.
     Opened {
-        /// Its request's id.
+        /// Request id of the query.
         id: String,
-        /// The room that it takes.
+        /// Number of units (queries and parts counted together) that the query uses.
         units: u32,
-        /// The section of the operator's file that counts it, if one does.
+        /// Section of the operator's file that counts the query; `None` if no section does.
         owner: Option<String>,
     },
-    /// It has ended.
+    /// A query of the sender has ended.
     Closed {
-        /// Its request's id.
+        /// Request id of the query.
         id: String,
     },
-    /// A query of a key is in hand, until then at the latest.
+    /// The sender has accepted a query with an idempotency key.
     KeyOpened {
-        /// The key.
+        /// Idempotency key.
         key: String,
-        /// When its client gives up.
+        /// Latest time at which the query ends, because its client stops waiting.
         until: Micros,
-        /// KeyOwner it is.
+        /// Owner of the key.
         #[serde(rename = "whose")]
         key_owner: KeyOwner,
     },
-    /// A part is about to be sent under a key.
+    /// The sender is about to send a part under a key.
     KeySent {
-        /// The key.
+        /// Idempotency key.
         key: String,
-        /// The part's shard.
+        /// Number of the shard that the part is for.
         shard: u32,
-        /// When.
+        /// Time at which the part is sent.
         at: Micros,
-        /// Until when it is waited for.
+        /// Time until which the sender waits for the answer.
         until: Micros,
-        /// KeyOwner the key is.
+        /// Owner of the key.
         #[serde(rename = "whose")]
         key_owner: KeyOwner,
     },
-    /// That attempt has ended.
+    /// The attempt that a [`Message::KeySent`] reported has ended.
     KeyEnded {
-        /// The key.
+        /// Idempotency key.
         key: String,
-        /// The part's shard.
+        /// Number of the shard that the part is for.
         shard: u32,
-        /// When.
+        /// Time at which the attempt ended.
         at: Micros,
-        /// What that proves.
+        /// What the end proves about whether the part ran.
         proof: Proof,
-        /// KeyOwner the key is.
+        /// Owner of the key.
         #[serde(rename = "whose")]
         key_owner: KeyOwner,
     },
-    /// The query of the key has ended.
+    /// The query with the key has ended.
     KeyClosed {
-        /// The key.
+        /// Idempotency key.
         key: String,
-        /// When.
+        /// Time at which the query ended.
         at: Micros,
-        /// Whether its client was answered.
+        /// Whether the client received an answer.
         answered: bool,
-        /// KeyOwner the key is.
+        /// Owner of the key.
         #[serde(rename = "whose")]
         key_owner: KeyOwner,
     },
 }
 
-/// What cannot be read.
+/// Error in the bytes that a sibling sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ProtocolError {
     /// The first bytes are not those of a greeting.
-    #[error("it is no neighbour: the first bytes are not a greeting's")]
+    #[error("the first bytes are not those of a handover greeting")]
     NotAGreeting,
-    /// Another version is spoken.
-    #[error("it speaks version {0} of the hand-over, not {VERSION}")]
+    /// The sibling uses this other protocol version.
+    #[error("the sibling uses version {0} of the handover protocol, expected {VERSION}")]
     UnsupportedVersion(u16),
-    /// A frame is longer than any.
-    #[error("a frame of {0} bytes, {MAX_FRAME_LENGTH} at the most")]
+    /// A frame announces a body of this many bytes, more than [`MAX_FRAME_LENGTH`].
+    #[error("frame of {0} bytes exceeds the maximum of {MAX_FRAME_LENGTH} bytes")]
     FrameTooLong(usize),
-    /// A frame holds what is no word.
-    #[error("a frame that holds no word")]
+    /// The body of a frame cannot be decoded, or the greeting is that of another broker.
+    #[error("frame does not hold a valid message")]
     InvalidMessage,
 }
 
-/// Encodes a greeting as a whole frame.
+/// Encodes a greeting as a complete frame.
 pub fn encode_greeting(greeting: &Greeting) -> Vec<u8> {
-    let mut rest = MAGIC.to_vec();
-    rest.extend(VERSION.to_be_bytes());
-    rest.extend(postcard::to_allocvec(greeting).unwrap_or_default());
-    frame(&rest)
+    let mut body = MAGIC.to_vec();
+    body.extend(VERSION.to_be_bytes());
+    body.extend(postcard::to_allocvec(greeting).unwrap_or_default());
+    frame(&body)
 }
 
-/// Encodes a word as a whole frame; `None`: it is longer than any may be.
-pub fn encode_message(word: &Message) -> Option<Vec<u8>> {
-    postcard::to_allocvec(word).ok().filter(|rest| rest.len() <= MAX_FRAME_LENGTH).map(|rest| frame(&rest))
+/// Encodes a message as a complete frame. Returns `None` if its body is longer than [`MAX_FRAME_LENGTH`].
+pub fn encode_message(message: &Message) -> Option<Vec<u8>> {
+    postcard::to_allocvec(message).ok().filter(|body| body.len() <= MAX_FRAME_LENGTH).map(|body| frame(&body))
 }
 
-fn frame(rest: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(4 + rest.len());
-    out.extend((rest.len() as u32).to_be_bytes());
-    out.extend(rest);
+fn frame(body: &[u8]) -> Vec<u8> {
+    let mut out = Vec::with_capacity(4 + body.len());
+    out.extend((body.len() as u32).to_be_bytes());
+    out.extend(body);
     out
 }
 
-/// Takes frames out of what has come, in whatever pieces.
+/// Splits received bytes into frames, independently of how the bytes were divided when they arrived.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FrameReader {
     input: Vec<u8>,
 }
 
 impl FrameReader {
-    /// Takes what has come.
+    /// Adds received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.input.extend(bytes);
     }
 
-    fn next(&mut self) -> Result<Option<Vec<u8>>, ProtocolError> {
+    fn next_frame(&mut self) -> Result<Option<Vec<u8>>, ProtocolError> {
         let Some((length, rest)) = self.input.split_first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_be_bytes(*length) as usize;
         if length > MAX_FRAME_LENGTH {
@@ -176,32 +180,32 @@
         Ok(Some(frame))
     }
 
-    /// The greeting, once it is there.
+    /// Returns the greeting, or `None` while it is incomplete.
     pub fn read_greeting(&mut self) -> Result<Option<Greeting>, ProtocolError> {
-        // Noise is told from a greeting before its length is believed.
+        // The magic bytes are checked before the length is trusted, so that noise is rejected at once.
         let magic = self.input.get(4..).unwrap_or_default();
         if !magic.iter().zip(MAGIC).all(|(a, b)| *a == b) {
             return Err(ProtocolError::NotAGreeting);
         }
-        let Some(frame) = self.next()? else { return Ok(None) };
-        let Some(rest) = frame.strip_prefix(&MAGIC) else { return Err(ProtocolError::NotAGreeting) };
-        let Some((version, rest)) = rest.split_first_chunk::<2>() else {
+        let Some(frame) = self.next_frame()? else { return Ok(None) };
+        let Some(body) = frame.strip_prefix(&MAGIC) else { return Err(ProtocolError::NotAGreeting) };
+        let Some((version, body)) = body.split_first_chunk::<2>() else {
             return Err(ProtocolError::InvalidMessage);
         };
         match u16::from_be_bytes(*version) {
-            VERSION => postcard::from_bytes(rest).map(Some).map_err(|_| ProtocolError::InvalidMessage),
+            VERSION => postcard::from_bytes(body).map(Some).map_err(|_| ProtocolError::InvalidMessage),
             other => Err(ProtocolError::UnsupportedVersion(other)),
         }
     }
 
-    /// The next word, once it is there.
+    /// Returns the next message, or `None` while it is incomplete.
     pub fn read_message(&mut self) -> Result<Option<Message>, ProtocolError> {
-        let Some(mut frame) = self.next()? else { return Ok(None) };
-        let word = postcard::from_bytes(&frame).or_else(|_| {
-            frame.extend(NOBODYS);
+        let Some(mut frame) = self.next_frame()? else { return Ok(None) };
+        let message = postcard::from_bytes(&frame).or_else(|_| {
+            frame.extend(DEFAULT_KEY_OWNER);
             postcard::from_bytes(&frame)
         });
-        word.map(Some).map_err(|_| ProtocolError::InvalidMessage)
+        message.map(Some).map_err(|_| ProtocolError::InvalidMessage)
     }
 }
 
--- a/crates/handover/src/wire/tests.rs
+++ b/crates/handover/src/wire/tests.rs
@@ -9,7 +9,7 @@
     KeyOwner { owner: "acme\0save".into(), window: Some(300) }
 }
 
-fn words() -> Vec<Message> {
+fn messages() -> Vec<Message> {
     vec![
         Message::StateSent,
         Message::KeySent { key: "k".into(), shard: 3, at: 5, until: u64::MAX, key_owner: key_owner() },
@@ -19,31 +19,36 @@
     ]
 }
 
-/// In whatever pieces it comes, the same is read.
+/// Frames are read correctly however their bytes are divided when they arrive.
 #[test]
-fn words_come_in_pieces() {
+fn messages_are_read_from_chunks_of_any_size() {
     let bytes: Vec<u8> = encode_greeting(&greeting())
         .into_iter()
-        .chain(words().iter().flat_map(|w| encode_message(w).unwrap()))
+        .chain(messages().iter().flat_map(|message| encode_message(message).unwrap()))
         .collect();
     for step in [1, 2, 3, 7, bytes.len()] {
         let mut reader = FrameReader::default();
-        let (mut greeted, mut read) = (None, Vec::new());
-        for piece in bytes.chunks(step) {
-            reader.feed(piece);
-            if greeted.is_none() {
-                greeted = reader.read_greeting().unwrap();
+        let (mut received_greeting, mut received_messages) = (None, Vec::new());
+        for chunk in bytes.chunks(step) {
+            reader.feed(chunk);
+            if received_greeting.is_none() {
+                received_greeting = reader.read_greeting().unwrap();
             }
-            while let Some(word) = greeted.as_ref().and_then(|_| reader.read_message().unwrap()) {
-                read.push(word);
+            while let Some(message) = received_greeting.as_ref().and_then(|_| reader.read_message().unwrap())
+            {
+                received_messages.push(message);
             }
         }
-        assert_eq!((greeted, read), (Some(greeting()), words()), "pieces of {step}");
+        assert_eq!(
+            (received_greeting, received_messages),
+            (Some(greeting()), messages()),
+            "chunks of {step} bytes"
+        );
     }
 }
 
 #[test]
-fn what_is_no_neighbour_is_told_from_its_first_bytes() {
+fn a_connection_that_is_not_a_sibling_is_rejected_by_its_first_bytes() {
     let read = |bytes: &[u8]| {
         let mut reader = FrameReader::default();
         reader.feed(bytes);
@@ -51,9 +56,9 @@
     };
     assert_eq!(read(b"GET / HTTP/1.1\r\n"), Err(ProtocolError::NotAGreeting));
     assert_eq!(read(&[0, 0]), Ok(None));
-    let mut other = encode_greeting(&greeting());
-    other[9] = 2;
-    assert_eq!(read(&other), Err(ProtocolError::UnsupportedVersion(2)));
+    let mut other_version = encode_greeting(&greeting());
+    other_version[9] = 2;
+    assert_eq!(read(&other_version), Err(ProtocolError::UnsupportedVersion(2)));
     assert_eq!(
         read(&[0xff, 0xff, 0xff, 0xff, b'P', b'L', b'V', b'H']),
         Err(ProtocolError::FrameTooLong(0xffff_ffff))
@@ -61,9 +66,12 @@
 }
 
 proptest! {
-    /// Noise is an error or no whole frame, never a panic, and claims no memory by its length.
+    /// Arbitrary bytes give an error or an incomplete frame. They never cause a panic, and memory is not
+    /// allocated for the length that they announce.
     #[test]
-    fn any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..300), greeted in any::<bool>()) {
+    fn arbitrary_bytes_never_panic(
+        bytes in prop::collection::vec(any::<u8>(), 0..300), greeted in any::<bool>(),
+    ) {
         let mut reader = FrameReader::default();
         if greeted {
             reader.feed(&encode_greeting(&greeting()));
@@ -71,15 +79,20 @@
         }
         reader.feed(&bytes);
         for _ in 0..bytes.len() {
-            let more = if greeted { reader.read_message().map(|w| w.is_some()) } else { reader.read_greeting().map(|g| g.is_some()) };
+            let more = if greeted {
+                reader.read_message().map(|message| message.is_some())
+            } else {
+                reader.read_greeting().map(|greeting| greeting.is_some())
+            };
             if more != Ok(true) { break; }
         }
     }
 }
 
-/// What is known of a fleet of 7,800 servers fits into one word, also where all of them are cold and much was sent to each.
+/// A snapshot of 7,800 servers fits into one message, even if all of them are cold and each was sent many
+/// calls.
 #[test]
-fn what_is_known_of_a_great_fleet_fits_into_a_word() {
+fn a_snapshot_of_a_large_fleet_fits_into_one_message() {
     let server = |n: usize| plover_model::snapshot::ServerSnapshot {
         name: format!("s-{n:08x}"),
         last_response_age: Some(1.5),
@@ -88,18 +101,19 @@
         ..Default::default()
     };
     let servers = (0..7800).map(server).collect();
-    let word = Message::Snapshot(Box::new(Snapshot { servers, ..Snapshot::default() }));
-    let frame = encode_message(&word).expect("it can be said");
+    let message = Message::Snapshot(Box::new(Snapshot { servers, ..Snapshot::default() }));
+    let frame = encode_message(&message).expect("the message is not longer than a frame may be");
     let mut reader = FrameReader::default();
     reader.feed(&frame);
-    assert_eq!(reader.read_message(), Ok(Some(word)));
+    assert_eq!(reader.read_message(), Ok(Some(message)));
 }
 
-/// A process before this one does not tell whose a key is, and reads no further than it knows: each understands the other.
+/// A process of an earlier release does not send the owner of a key, and ignores bytes after the fields that
+/// it knows. Processes of both releases understand each other.
 #[test]
-fn words_without_and_with_the_owner_of_a_key_are_both_read() {
+fn messages_with_and_without_a_key_owner_are_both_read() {
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
-    enum Before {
+    enum EarlierMessage {
         Recall(Box<Snapshot>),
         Told,
         Opened { id: String, units: u32, owner: Option<String> },
@@ -108,13 +122,13 @@
         KeySent { key: String, shard: u32, at: Micros, until: Micros },
     }
     let key = || "k".to_owned();
-    let then = Before::KeySent { key: key(), shard: 3, at: 5, until: 300 };
-    let now = |key_owner| Message::KeySent { key: key(), shard: 3, at: 5, until: 300, key_owner };
+    let earlier = EarlierMessage::KeySent { key: key(), shard: 3, at: 5, until: 300 };
+    let current = |key_owner| Message::KeySent { key: key(), shard: 3, at: 5, until: 300, key_owner };
     let mut reader = FrameReader::default();
-    reader.feed(&frame(&postcard::to_allocvec(&then).unwrap()));
-    assert_eq!(reader.read_message(), Ok(Some(now(KeyOwner::default()))));
-    let said = encode_message(&now(key_owner())).unwrap();
-    assert_eq!(postcard::from_bytes::<Before>(&said[4..]), Ok(then));
-    reader.feed(&said);
-    assert_eq!(reader.read_message(), Ok(Some(now(key_owner()))));
+    reader.feed(&frame(&postcard::to_allocvec(&earlier).unwrap()));
+    assert_eq!(reader.read_message(), Ok(Some(current(KeyOwner::default()))));
+    let encoded = encode_message(&current(key_owner())).unwrap();
+    assert_eq!(postcard::from_bytes::<EarlierMessage>(&encoded[4..]), Ok(earlier));
+    reader.feed(&encoded);
+    assert_eq!(reader.read_message(), Ok(Some(current(key_owner()))));
 }
