--- a/crates/handover/src/siblings.rs
+++ b/crates/handover/src/siblings.rs
@@ -64,7 +64,7 @@
     /// No greeting has arrived yet. Holds the time at which the link was opened.
     AwaitingGreeting(Micros),
     /// The sibling is sending the state that it had before. Holds the time at which its greeting arrived.
-    ReceivingState(Micros),
+    Synchronizing(Micros),
     /// The sibling has sent all of its earlier state and reports each change.
     Joined,
     /// The sibling is alive, but it is not understood, is late, or could not be sent a message. What it sends
@@ -189,7 +189,7 @@
                 return Err(ProtocolError::InvalidMessage);
             }
             link.peer = Some(greeting);
-            link.state = State::ReceivingState(now);
+            link.state = State::Synchronizing(now);
         }
         let older = link.peer.as_ref().is_some_and(|p| is_older(p, &self.local));
         while let Some(message) = link.reader.read_message()? {
@@ -262,7 +262,7 @@
             // report.
             State::Joined => self.was_paused,
             // A newer sibling sends no part before it has reported it.
-            State::ReceivingState(_) => !newer,
+            State::Synchronizing(_) => !newer,
             State::AwaitingGreeting(_) | State::Unknown => true,
         };
         if alive {
@@ -297,7 +297,7 @@
         let mut closed = Vec::new();
         for (id, link) in &mut self.links {
             match link.state {
-                State::AwaitingGreeting(since) | State::ReceivingState(since)
+                State::AwaitingGreeting(since) | State::Synchronizing(since)
                     if now >= since + self.timeouts.greeting =>
                 {
                     link.state = State::Unknown;
@@ -317,7 +317,7 @@
     /// links.
     pub fn due(&self) -> Option<Micros> {
         let due = |l: &Link| match l.state {
-            State::AwaitingGreeting(since) | State::ReceivingState(since) => {
+            State::AwaitingGreeting(since) | State::Synchronizing(since) => {
                 Some(since + self.timeouts.greeting)
             }
             State::Joined if !l.unsent.is_empty() => Some(l.unsent_since + self.timeouts.stall),
@@ -334,7 +334,7 @@
         // A newer sibling sends nothing before it has received all that is known here.
         let reported = |l: &Link| match l.state {
             State::Joined => true,
-            State::ReceivingState(_) => l.peer.as_ref().is_some_and(|p| !is_older(p, &self.local)),
+            State::Synchronizing(_) => l.peer.as_ref().is_some_and(|p| !is_older(p, &self.local)),
             State::AwaitingGreeting(_) | State::Unknown => false,
         };
         let synchronized = |l: &Link| reported(l) && l.unsent.is_empty();
