--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -209,7 +209,7 @@
     }
 
     /// Computes the indices of classes and tenants under new settings. This changes nothing; pass the result
-    /// to [`Core::retune`] to apply it.
+    /// to [`Core::reconfigure`] to apply it.
     pub fn index_settings(
         &self,
         now: Micros,
@@ -265,9 +265,13 @@
 
     /// Sets the overhead of the broker's own thread: its recent time per part and per turn, and its total
     /// busy time since the start, in microseconds, at the beginning of this turn.
-    pub fn set_overhead(&mut self, part: Duration, turn: Duration, busy: Micros) {
+    pub fn set_overhead(&mut self, per_part: Duration, per_turn: Duration, busy: Micros) {
         let ms = |time: Duration| time.as_secs_f64() * 1e3;
-        self.aggregator.set_overhead(Overhead { per_part: ms(part), per_turn: ms(turn), busy: to_ms(busy) });
+        self.aggregator.set_overhead(Overhead {
+            per_part: ms(per_part),
+            per_turn: ms(per_turn),
+            busy: to_ms(busy),
+        });
     }
 
     /// Sets the number of units (queries and parts) that the other processes of this broker have open.
@@ -477,14 +481,14 @@
 
     /// Processes counts of attempts that other clients reported. They count as attempts of the first class.
     pub fn report_outcomes(&mut self, now: Micros, reports: Vec<ServerStats>) {
-        let bulk = |s: ServerStats| OutcomeCounts {
+        let counts = |s: ServerStats| OutcomeCounts {
             node: s.server,
             served: s.served,
             errors: s.errors,
             lost: s.lost,
             elapsed: s.mean_elapsed.map(to_ms),
         };
-        let reports: Vec<OutcomeCounts> = reports.into_iter().map(bulk).collect();
+        let reports: Vec<OutcomeCounts> = reports.into_iter().map(counts).collect();
         self.aggregator.report_outcomes(to_ms(now), ClassIndex(0), &reports);
     }
 
--- a/crates/core/tests/simulated/simulation.rs
+++ b/crates/core/tests/simulated/simulation.rs
@@ -90,7 +90,7 @@
     arrival_random: Option<Pcg64Mcg>,
     /// Total busy time of the broker's thread.
     busy: Micros,
-    own: OverheadEstimator,
+    overhead: OverheadEstimator,
     /// Queries that are open or have not been admitted yet.
     pending: BTreeMap<QueryId, PendingQuery>,
     /// Queries that have not been admitted yet, by time of arrival.
@@ -179,7 +179,7 @@
             random: Pcg64Mcg::seed_from_u64(9),
             arrival_random: None,
             busy: 0,
-            own: OverheadEstimator::default(),
+            overhead: OverheadEstimator::default(),
             pending: BTreeMap::new(),
             arrivals: VecDeque::new(),
             next_query: 1,
@@ -234,7 +234,7 @@
     /// Runs one turn. It lasts as long as its work takes, but at least until the next tick.
     fn turn(&mut self) {
         let (now, busy) = (self.now, self.busy);
-        self.core.set_overhead(self.own.per_part(), self.own.per_turn(), busy);
+        self.core.set_overhead(self.overhead.per_part(), self.overhead.per_turn(), busy);
         let mut reports = Vec::new();
         while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= now) {
             let ((_, attempt), in_flight) = entry.remove_entry();
@@ -263,7 +263,7 @@
             self.carry_out(now, decisions);
         }
         let spent = self.busy - busy;
-        self.own.observe(Turn { busy: spent, sent, ended, dialled: false });
+        self.overhead.observe(Turn { busy: spent, sent, ended, dialled: false });
         self.now = self.now.max(now + TICK);
     }
 
--- a/crates/query/src/decode.rs
+++ b/crates/query/src/decode.rs
@@ -82,14 +82,14 @@
         Ok(body) => body,
         Err(e) => return bad_request(400, format!("the body is malformed: {e}")),
     };
-    let facts = QueryAttributes {
+    let attributes = QueryAttributes {
         path: request.uri().path(),
         class: &names.classes[class],
         tenant: names.tenants.get(tenant).map_or("", String::as_str),
         headers,
     };
     Ok(QueryRequest {
-        limits: routes.limits_for(class, &facts).clone(),
+        limits: routes.limits_for(class, &attributes).clone(),
         id,
         class,
         tenant,
