--- a/crates/admission/src/capacity.rs
+++ b/crates/admission/src/capacity.rs
@@ -11,8 +11,9 @@
 
 /// The minimum share of a side is its usual share divided by this number.
 const MIN_SHARE_DIVISOR: u64 = 2;
-/// Parts for at most one in this number of the pool's connections, and for at least one connection, are left
-/// to the next turn, where they may find another holder.
+/// A query's parts without a connection are left to the next turn, in which another server that holds their
+/// shard may have a connection, only if they go to at most as many servers as the number of the pool's
+/// connections divided by this number, or to one server.
 const RETRY_DIVISOR: usize = 16;
 /// Tolerance for the sum of the weights of a query's parts, which are rounded values.
 const ROUNDING: f64 = 5e-5;
--- a/crates/broker/src/event_loop.rs
+++ b/crates/broker/src/event_loop.rs
@@ -1,7 +1,7 @@
 //! The broker's event loop: takes what the sockets received, asks the decision module and carries out its
 //! decisions.
 //!
-//! The loop knows the optional components only through [`crate::extensions`].
+//! The loop reaches the optional components only through [`crate::extensions`].
 
 use crate::doors::Doors;
 use crate::extensions::{Action, Admission, Extensions, TurnEvent, View};
@@ -115,8 +115,10 @@
         }
     }
 
-    /// Waits for the next turn, until something arrives in the inbox or `due`. Turns that are due keep a
-    /// tick's distance; after something arrived, the pacing decides for how long further inputs are gathered.
+    /// Waits for the next turn. The wait ends when something arrives in the inbox or at the time `due`, which
+    /// is limited to at least one tick and at most 1000 s after `now`. After that, the pacing decides for how
+    /// long further inputs are gathered. Reading from data servers is paused meanwhile unless the pacing is
+    /// adaptive.
     async fn wait_for_next_turn(&self, now: Micros, due: Micros) {
         let due = due.clamp(now + self.tick, now + 1_000_000_000);
         let timer = async {
@@ -153,7 +155,8 @@
         (*last_busy, *last_dials) = (total, dials);
     }
 
-    /// Runs one turn. Returns the numbers of attempts sent and of attempts that ended.
+    /// Runs one turn. Returns the number of attempts to be sent, including those that are withheld at the end
+    /// of the turn, and the number of attempts that ended.
     async fn turn(&mut self, now: Micros) -> (usize, usize) {
         let view = View { core: &self.core, queries: &self.queries, rev: self.server_list.rev };
         let actions = self.extensions.notify(now, TurnEvent::TurnStart(view));
@@ -238,8 +241,8 @@
         }
     }
 
-    /// Starts the shutdown. Connected clients are served for as long as that can be finished before the
-    /// process is killed.
+    /// Starts the shutdown. Connected clients are served for as long as their requests can still be answered
+    /// before the process is killed. There is no grace period if a newer process of this broker serves.
     fn terminate(&mut self, now: Micros) {
         let ending = ShutdownTimes::for_client_timeout(self.core.max_client_timeout(now));
         let superseded = self.extensions.siblings().is_some_and(Siblings::has_newer);
@@ -267,9 +270,9 @@
         queries
     }
 
-    /// Ends the queries that the turn would send something for and whose clients have gone without the turn
-    /// knowing it. The clients' tasks run on this thread too, and those that became ready with this turn may
-    /// not have run yet.
+    /// Ends the queries for which this turn is to send parts but whose clients have gone since the inbox was
+    /// taken. The clients' tasks run on this thread too, and those that became ready with this turn may not
+    /// have run yet.
     async fn end_abandoned_queries(&mut self, now: Micros) {
         let mut dispatched: Vec<QueryId> = self.dispatches.keys().map(|attempt| attempt.query).collect();
         dispatched.dedup();
@@ -284,8 +287,10 @@
         }
     }
 
-    /// Sends the turn's dispatches. A part under a key that other processes of this broker may not know of is
-    /// not sent.
+    /// Sends the turn's dispatches for which there are connections. Refuses the queries that cannot be served
+    /// without more connections and of which no part was prepared for sending in an earlier turn. A part
+    /// under a key is not sent unless this process knows everything that the other processes of this broker
+    /// have sent, and they know everything that it has sent.
     fn send_all(&mut self, now: Micros) {
         let dispatches = std::mem::take(&mut self.dispatches);
         self.room.share_out(now, dispatches.len(), &self.doors.fronts, &mut self.upstream);
--- a/crates/broker/src/extensions.rs
+++ b/crates/broker/src/extensions.rs
@@ -1,9 +1,10 @@
 //! The interface between the event loop and the optional components that an operator may switch off.
 //!
-//! The loop knows no such component by name. It notifies all extensions that are switched on of what happens
-//! in a turn ([`TurnEvent`]), performs the actions that they request ([`Action`]), asks them whether queries
-//! are admitted, and begins a turn when one of them is due. An extension that is switched off is not in the
-//! list and costs a turn nothing, as a test checks.
+//! The loop names no extension. It notifies all extensions that are switched on of what happens in a turn
+//! ([`TurnEvent`]), performs the actions that they request ([`Action`]), asks them whether queries are
+//! admitted, and begins a turn when one of them is due. It also asks for the other processes of this broker
+//! ([`Siblings`]), which one extension may return. An extension that is switched off is not in the list and
+//! causes no memory allocation in a turn, as a test checks.
 //!
 //! An extension owns its state and its sockets, and sees the rest of the broker only through a [`View`].
 
@@ -32,7 +33,7 @@
     }
 }
 
-/// What extensions are notified of, in the order of a turn.
+/// What extensions are notified of. The variants from `TurnStart` to `Decided` are in the order of a turn.
 #[derive(Clone, Copy)]
 pub(crate) enum TurnEvent<'a> {
     /// The broker starts; sent once before the first turn. An extension may block the start for a bounded
@@ -56,7 +57,8 @@
     StateReceived,
     /// New settings are in effect.
     Reconfigured {
-        /// Time for which the keys of a process of which nothing is known may come back after its end.
+        /// Time after the end of a process with unknown state during which its clients may retry its keys
+        /// here.
         quarantine: Micros,
     },
 }
@@ -127,7 +129,7 @@
     }
 
     /// Notifies all extensions and returns the actions that they request. The caller performs these before it
-    /// sends any other event.
+    /// sends any other event, except that [`Action::Restore`] itself sends [`TurnEvent::StateReceived`].
     pub(crate) fn notify(&mut self, now: Micros, event: TurnEvent<'_>) -> Vec<Action> {
         // Allocates nothing until an extension requests an action.
         let mut actions = Vec::new();
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -34,7 +34,7 @@
     client: Client,
     /// The value of each part; `None` until it is received.
     values: Vec<Option<String>>,
-    /// Whether any part was sent.
+    /// Whether any part was prepared for sending. It may still have been withheld.
     any_sent: bool,
     /// Total weight of the parts that were omitted for lack of connections.
     omitted_weight: f64,
@@ -71,8 +71,8 @@
     (max_window.unwrap_or(0), max_wait.unwrap_or(0))
 }
 
-/// Time for which the keys of a process of which nothing is known may come back after its end: as long as
-/// data servers drop repeats and clients ask again.
+/// Time after the end of a process with unknown state during which its clients may retry its keys here: the
+/// longest time for which data servers drop repeats, plus the longest time for which clients ask again.
 pub(crate) fn quarantine(settings: &Settings) -> Micros {
     let (max_window, max_wait) = repeat_times(settings);
     max_window + max_wait
@@ -130,7 +130,7 @@
 pub(crate) struct QueryStatus {
     /// Index of the query's class.
     pub(crate) class: usize,
-    /// Whether any part was sent.
+    /// Whether any part was prepared for sending. It may still have been withheld.
     pub(crate) any_sent: bool,
     /// Total weight of the parts that were omitted for lack of connections.
     pub(crate) omitted_weight: f64,
@@ -139,9 +139,10 @@
 /// Why a dispatch is not sent.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Withheld {
-    /// The query has ended in the same turn.
+    /// The query has ended in the same turn, or it has no such part.
     QueryEnded,
-    /// The part may have run under this key, and data servers no longer drop repeats of it.
+    /// The key register does not allow the part to be sent, for example because the part may have run under
+    /// this key and data servers no longer drop repeats of it: see [`KeyRegister::may_send`].
     Repeat,
 }
 
@@ -160,7 +161,7 @@
     max_retry_after: Option<Micros>,
     /// Queries that have ended since the last call of [`Queries::take_ended`].
     ended: Vec<QueryId>,
-    /// Messages for other processes of this broker; `None` if there are no such processes.
+    /// Messages for other processes of this broker; `None` if no extension wants them.
     messages: Option<Vec<Message>>,
     /// The machine's clock at zero of the broker's clock.
     origin: Micros,
@@ -173,7 +174,8 @@
 }
 
 impl Queries {
-    /// Creates the table with a capacity of `capacity` units, that is queries and parts together.
+    /// Creates the table with a capacity of `capacity` units, that is queries and parts together. The seed
+    /// varies the retry advice of the limits. `origin` is the machine's clock at zero of the broker's clock.
     pub(crate) fn new(
         settings: &Settings,
         names: &Names,
@@ -289,7 +291,7 @@
         std::mem::take(&mut self.ended)
     }
 
-    /// Tells whether the client of a query still waits; `None` if the query has ended.
+    /// The flag that tells whether the client of a query still waits; `None` if the query has ended.
     pub(crate) fn presence(&self, query: QueryId) -> Option<&Rc<Presence>> {
         self.pending.get(&query).map(|pending| pending.client.presence())
     }
@@ -452,7 +454,7 @@
         Some(query)
     }
 
-    /// Ends a query whose client has gone. Does nothing if the query was answered at the same time.
+    /// Ends a query whose client has gone. Does nothing if the query has already ended.
     pub(crate) fn client_gone(&mut self, now: Micros, query: QueryId) {
         if let Some(pending) = self.close(now, query, QueryResult::Aborted) {
             pending.span.in_scope(|| debug!(name: "query_gone", query));
--- a/crates/broker/src/upstream/assignment.rs
+++ b/crates/broker/src/upstream/assignment.rs
@@ -32,8 +32,10 @@
 }
 
 impl Upstream {
-    /// Returns the kind of connection that a call of `parts` parts to a server would be sent on now; `None`
-    /// if the server has no address.
+    /// Returns the kind of connection on which a call of `parts` parts to a server can be sent now: an idle
+    /// one if there is one, otherwise a shared one, otherwise a new one. Returns `None` if the server has no
+    /// address. `connection_for` may dial a new connection although this returns
+    /// [`ConnectionChoice::Shared`].
     pub fn connection_choice(&self, now: Micros, name: &NodeId, parts: usize) -> Option<ConnectionChoice> {
         let server = self.servers.get(name).filter(|s| s.endpoint.get().is_some())?;
         let connections = server.connections.borrow();
@@ -58,8 +60,9 @@
     }
 
     /// Returns a connection with capacity for these parts on which none of them is in flight yet; `None` if
-    /// the server has no address or no descriptor is free. Answers are matched by part id, so the answers to
-    /// two attempts at one part could not be told apart on the same connection.
+    /// the server has no address, or if all descriptors are in use and no idle connection can be closed.
+    /// Answers are matched by part id, so the answers to two attempts at one part could not be told apart on
+    /// the same connection.
     ///
     /// Prefers the connection that has been idle for longest, since a server may close a connection right
     /// after its answer, and a part sent while the server closes the connection ends with a reset. Then
@@ -148,7 +151,8 @@
         }
     }
 
-    /// Moves one call to another connection, or leaves it on its connection if there is no other.
+    /// Moves one call to another connection. Leaves it on its connection if there is no other, or if
+    /// [`MAX_DIALS`] connections to the server are being dialled.
     fn reassign_call(&mut self, now: Micros, from: u64, server: &Rc<Server>, mut parts: Vec<QueuedPart>) {
         let too_many_dials = self.dialling(server) >= MAX_DIALS;
         let to = if too_many_dials { None } else { self.connection_for(now, server, &parts) }.unwrap_or(from);
--- a/crates/handover/src/siblings.rs
+++ b/crates/handover/src/siblings.rs
@@ -98,7 +98,8 @@
     /// Process ids of siblings that are alive but whose link has ended. Of two such processes the newer one
     /// goes on and the older one stops sending.
     disconnected: Vec<u32>,
-    /// Time until which keys of siblings with unknown state may be retried here.
+    /// Time until which keys of siblings with unknown state may be retried here; [`Micros::MAX`] while a
+    /// sibling is alive without a link and it is unknown what it sends.
     quarantine: Micros,
     /// Time at which the current turn began.
     last_turn_at: Micros,
@@ -127,7 +128,7 @@
         self.timeouts.quarantine = time;
     }
 
-    /// Marks the start of a turn. To be called before anything is read in it.
+    /// Marks the start of a turn. The caller calls this before it reads anything in the turn.
     pub fn begin_turn(&mut self, now: Micros) {
         self.was_paused =
             !self.links.is_empty() && now.saturating_sub(self.last_turn_at) >= self.timeouts.stall;
@@ -210,7 +211,8 @@
     }
 
     /// Queues a message to one sibling. Returns `false` if the message is too long or does not fit into the
-    /// queue; from then on the state of this sibling counts as unknown.
+    /// queue; from then on the state of this sibling counts as unknown. Returns `true` without queuing the
+    /// message if the state was unknown before or the link has ended.
     pub fn send(&mut self, now: Micros, id: LinkId, message: &Message) -> bool {
         let Some(link) = self.links.get_mut(&id).filter(|l| l.state != State::Unknown) else { return true };
         match encode_message(message) {
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -100,7 +100,8 @@
     }
 
     /// Sets the number of processes of this broker. While there are several, a query costs a token for each
-    /// of them, so that all of them together admit no more than a single process would.
+    /// of them, but no more than the burst, so that all of them together admit no more than a single process
+    /// would as long as their number does not exceed the burst.
     pub fn set_process_count(&mut self, processes: u32) {
         self.processes = processes.max(1);
     }
--- a/crates/ops/src/life.rs
+++ b/crates/ops/src/life.rs
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Makes the transition that is due by now, if any.
+    /// Makes the transitions that are due by now, if any, and returns the effect of the last one.
     pub fn tick(&mut self, now: Micros) -> Effect {
         if self.due().is_none_or(|due| now < due) {
             return Effect::None;
--- a/crates/repeats/src/lib.rs
+++ b/crates/repeats/src/lib.rs
@@ -44,7 +44,8 @@
 pub enum Verdict {
     /// The query may be served.
     Serve,
-    /// Another query with the key is open, or one of its attempts may still run: retry after this time.
+    /// Another query with the key is open, one of its attempts may still run, or the register is full: retry
+    /// after this time.
     Busy(Micros),
     /// A key of another owner has the same text, and data servers may confuse their parts: retry after this
     /// time.
@@ -94,8 +95,8 @@
     first_sent: Option<Micros>,
     /// Number of attempts in flight in this process.
     in_flight: u32,
-    /// Number of attempts in flight in another process of this broker. They end there, or when they are no
-    /// longer awaited.
+    /// Number of attempts in flight in another process of this broker, whose ends that process reports. If it
+    /// does not, they count as ended for [`KeyRegister::open`] once they are no longer awaited.
     sibling_in_flight: u32,
     /// Number of attempts that have ended and may have run.
     may_have_run: u32,
@@ -123,7 +124,8 @@
 
 impl Entry {
     /// Returns until when data servers may take a part of another owner's key for a part of this one; `None`
-    /// if nothing of this key goes or went to the shard.
+    /// if nothing of this key goes or went to the shard. A query that is open in another process counts for
+    /// all shards, because its shards are not known here.
     fn interferes_until(&self, shard: usize, default_window: Micros) -> Option<Micros> {
         let open = self.open_until.filter(|_| self.shards.contains(&shard)).max(self.sibling_open_until);
         let window = self.window.unwrap_or(default_window);
@@ -140,7 +142,8 @@
 /// Register of idempotency keys.
 #[derive(Clone, Debug)]
 pub struct KeyRegister {
-    /// Window for keys of which only other processes have reported.
+    /// Window for keys whose window is unknown: only other processes have reported events of them, and none
+    /// with a window.
     default_window: Micros,
     /// Time after the end of the window for which clients may still retry.
     retention: Micros,
@@ -157,8 +160,9 @@
 impl KeyRegister {
     /// Creates a register for at most `max_keys` keys. Data servers drop repeats for `default_window` after
     /// the first attempt, and clients retry at most for `retention` after that. The default window is for
-    /// keys of which only other processes have reported: each query brings the window of its class. A part
-    /// has one attempt in flight at a time.
+    /// keys of which only other processes have reported events, none of them with a window: each query of
+    /// this process has the window of its class. A part has one attempt in flight at a time until
+    /// [`KeyRegister::allow_hedging`] changes that.
     pub fn new(default_window: Micros, retention: Micros, max_keys: usize) -> Self {
         let (entries, eviction_order, answered) = Default::default();
         KeyRegister { default_window, retention, max_keys, hedging: false, entries, eviction_order, answered }
