--- a/crates/brookbend/src/choice.rs
+++ b/crates/brookbend/src/choice.rs
@@ -15,7 +15,7 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Target share of calls that end as full or timed out, for the width controller.
+/// Target share of attempts that end as full or timed out, for the width controller.
 const WIDTH_TARGET: f64 = 0.02;
 /// Proportional and derivative gain of the width controller.
 const WIDTH_GAINS: (f64, f64) = (1.0, 0.5);
@@ -61,17 +61,17 @@
 /// First time that a server which rejected a part as full is skipped, as a share of the shortest aim.
 const FULL_HOLD: f64 = 0.15;
 
-/// An attempt is overdue at this multiple of its forecast and this share of its class's aim: earlier, hedging
-/// would double work that is only queued, and blame its server.
+/// An attempt is overdue past this multiple of its forecast and this share of the shortest aim (late: its
+/// forecast and this share of its step's): earlier, hedging would double queued work and blame its server.
 pub(crate) const OVERDUE_FACTOR: f64 = 3.0;
 const OVERDUE_AIM: f64 = 0.25;
 /// A hedge is sent once the attempt is late by this multiple of the hedge's forecast. It is late against the
 /// lower of the two forecasts, so that the query does not wait for an attempt at a slow server.
 const HEDGE_DELAY: f64 = 2.0;
-/// Without hedging, an overdue attempt is cancelled only if another one forecasts at most this share of the
-/// aim: on a busy fleet the work that a cancelled attempt leaves behind would feed the overload.
+/// Without hedging, an attempt is cancelled only if another one forecasts at most this share of the aim, or
+/// more if it is lost: on a busy fleet the work that it leaves behind would feed the overload.
 const CANCEL_AIM: f64 = 0.15;
-/// And only once it is overdue or this share of the aim has passed: later, another would hardly be in time.
+/// And only past OVERDUE_FACTOR forecasts or this share of the aim: later, another would hardly be in time.
 const CANCEL_LATE: f64 = 0.4;
 /// Budget where the settings have none: free attempts, share of accepted requests, window in shortest aims.
 const DEFAULT_FREE_ATTEMPTS: f64 = 6.0;
@@ -97,7 +97,7 @@
 /// Largest share of the aim that is reserved for a second step: the first step has more parts.
 const SECOND_STEP_AIM: f64 = 0.5;
 /// Retry advice, as a share of the aim's remaining time: late enough for a queue to shrink, early enough for
-/// the retry to be in time. Past its aim, the longest advice that clients heed.
+/// the retry to be in time. A query past its aim, or suspect, gets the longest advice that clients heed.
 pub(crate) const RETRY_SHARE: f64 = 0.3;
 /// A query has its class's usual time-out within this ratio. One that has it adds a vote, another takes this
 /// share of one (in a retry storm few are first tries); the usual time-out counts from this number of votes.
@@ -120,7 +120,7 @@
 const WATCH_WAIT: (f64, f64) = (0.03, 0.3);
 /// Share of a cold server's limit that all may use together: traffic is bursty, and part of it unseen.
 const COLD_SAFE: f64 = 0.75;
-/// Random sends to a cold server scatter: this multiple of their root is kept free below the limit.
+/// Random sends to a cold server scatter: this multiple of their square root is kept free below the limit.
 const COLD_SCATTER: f64 = 2.0;
 /// And demand may grow at once by this factor, as when the last warm server of a cell goes.
 const COLD_SURGE: f64 = 2.0;
@@ -280,11 +280,11 @@
         }
     }
 
-    /// Returns when the client first asked. All its tries share one time limit, so that a query with less
-    /// time than is usual in its class is a retry that ends with that limit. To count it as new would, in a
-    /// retry storm, fill the fleet with answers past their aim. Where clients do not mark retries, one is
-    /// assumed only if the class shows a usual time-out and a query that began at that time went unserved:
-    /// clients may shorten their time-outs all at once, and their first tries are no retries.
+    /// Returns when the client first asked. All its tries share one time limit, so that a marked retry has
+    /// less time than is usual in its class and ends with that limit. To count it as new would, in a retry
+    /// storm, fill the fleet with answers past their aim. Where clients do not mark retries, one is assumed
+    /// only if the class shows a usual time-out and a query that began at that time went unserved: clients
+    /// may shorten their time-outs all at once, and their first tries are no retries.
     pub(crate) fn first_asked(&mut self, class: usize, q: &Query) -> Millis {
         let left = q.client_deadline - self.now;
         let p = &mut self.learned[class].client_timeout;
@@ -353,8 +353,8 @@
         }
     }
 
-    /// Holds back the parts that an any-k class can spare, those with the longest forecasts, until another is
-    /// overdue or fails.
+    /// Holds back the parts that an any-k class can spare, those with the longest forecasts, until an attempt
+    /// at another part is late or has failed.
     fn plan_reserve(&mut self, q: &mut QueryState) {
         let class = &self.settings.classes[q.class];
         let mut spare = if q.step_start == 0 { 1.0 - class.need } else { 0.0 };
@@ -376,8 +376,8 @@
         }
     }
 
-    /// Time until an answer to additional work: outstanding work at the server's pace, lateness of its oldest
-    /// attempt (only if sent after the newest answered one), errors and the wait if full.
+    /// Time until an answer to additional work: all outstanding work at the server's pace, lateness of the
+    /// oldest attempt sent after the newest answered one, errors and the wait if full.
     fn forecast(&self, server: usize, class: usize, work: Millis) -> Millis {
         self.forecast_at(self.fleet.servers[server].pace.measured(), server, class, work)
     }
@@ -417,9 +417,9 @@
         zone.is_some() && self.settings.zone.is_some() && zone != self.settings.zone
     }
 
-    /// Chooses the row holder unless it is unfit or clearly behind, else the fit holder with the best
-    /// forecast; a server called in this batch needs no new call. With no fit holder, the best of the others
-    /// is used: the last one is never ejected. `None` if all are gone, or cold and at their limit.
+    /// Of the holders (only untried ones if any), chooses the row holder unless unfit or clearly behind, else
+    /// the fit one with the best forecast; one called in this batch needs no new call. With no fit one, the
+    /// best other is used: the last is never ejected. `None` if all are gone, or cold at their limit.
     fn choose(&self, q: &QueryState, i: usize, fits: impl Fn(&Self, usize, Millis) -> bool) -> Option<usize> {
         let part = &q.parts[i];
         let work = self.work(q, i);
--- a/crates/brookbend/src/estimates/work.rs
+++ b/crates/brookbend/src/estimates/work.rs
@@ -8,8 +8,8 @@
 const STEP: f64 = 0.05;
 /// Work of a part before any answer, in multiples of a call's fixed work.
 const INITIAL_CALL_MULTIPLE: f64 = 2.0;
-/// Number of first answers of which the shortest is taken as the work of a part: with fewer answers that is
-/// as close to the quantile as can be estimate.
+/// Number of first answers of which the shortest is taken as the work of a part: with so few answers, it is
+/// as close to the quantile as can be estimated.
 const FIRST_ANSWERS: u32 = 8;
 /// Share of the aim that a part is assumed to cost at a cold server before any answer. A call may cost far
 /// less than the part it carries, and if all aggregators start at once, all of them would mistake the one for
@@ -18,8 +18,8 @@
 /// Factor by which the unit behind forecasts may be too low and still be used at a cold server.
 const MAX_COLD_UNDERESTIMATE: f64 = 2.0;
 
-/// The unit is known once this many answers were faster than it, where each slower answer takes back
-/// [`SLOWER_DISCOUNT`]. An estimate that is far too low has hardly any faster answers; one at its quantile
+/// The unit is known once this many answers were faster than it, where each slower answer reduces the count
+/// by [`SLOWER_DISCOUNT`]. An estimate that is far too low has hardly any faster answers; one at its quantile
 /// has one in five.
 const FASTER_ANSWERS_TO_KNOW: f64 = 8.0;
 const SLOWER_DISCOUNT: f64 = 0.1;
@@ -42,7 +42,7 @@
     faster_answers: f64,
     /// Factor by which a provisional unit has changed since the last [`WorkEstimate::take_change`].
     pending_ratio: f64,
-    /// Product of the factors that were taken.
+    /// Product of the factors that [`WorkEstimate::take_change`] has returned.
     scale: f64,
 }
 
--- a/crates/brookbend/src/schedule.rs
+++ b/crates/brookbend/src/schedule.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Removes a query that has ended.
+    /// Removes a query that has ended. If it is marked as changed, the next turn ignores the mark.
     pub(crate) fn remove(&mut self, id: &RequestId, query: &QueryState) {
         self.by_due_time.remove(&(OrderedTime(query.due_at), id.clone()));
         if query.lost_connections == 0 {
--- a/crates/brookbend/src/snapshot.rs
+++ b/crates/brookbend/src/snapshot.rs
@@ -32,7 +32,7 @@
     pub draining_or_gone: bool,
     /// Time until an answer per unit of work at the server.
     pub pace: f64,
-    /// Time since the last response; `None` if there was none.
+    /// Time since the newest answer or time-out; `None` if there was none.
     #[serde(rename = "heard_ago")]
     pub last_response_age: Option<f64>,
     /// Time since the send of the newest attempt that was served; `None` if there is none.
@@ -48,9 +48,10 @@
     pub ejected_for: f64,
     /// Remaining time for which the server counts as full; 0 if it does not.
     pub full_for: f64,
-    /// Length of the last ejection.
+    /// Length of the last ejection, or of the last time for which the server counted as full; 0 once the
+    /// server has answered.
     pub ejection: f64,
-    /// Whether the server fell silent and has not responded since.
+    /// Whether the server timed out or became unreachable, and has not answered since.
     #[serde(rename = "silent")]
     pub is_silent: bool,
     /// Work sent to the server while it is cold, within the rule's window: the age and the work of each send.
@@ -115,8 +116,10 @@
         }
     }
 
-    /// Applies a snapshot that another process took `age` ago, where nothing is known here yet. Numbers that
-    /// are negative or not finite are ignored. Classes match by index; one without a name is skipped.
+    /// Applies a snapshot that another process took `age` ago. The estimates of the fleet and of the classes
+    /// are replaced, and the higher served rate is kept. The estimates of a server apply only if it has had
+    /// no answer, time-out or failure here; work sent to a cold server is added in any case. Numbers that are
+    /// negative or not finite are ignored. Classes match by index; one without a name is skipped.
     pub fn restore(&mut self, now: Millis, age: Millis, r: &Snapshot) {
         let is_valid = |n: f64| n.is_finite() && n >= 0.0;
         let age = if is_valid(age) { age } else { 0.0 };
--- a/crates/brookbend/src/state.rs
+++ b/crates/brookbend/src/state.rs
@@ -33,9 +33,10 @@
     pub(crate) ejected_until: Millis,
     /// Time until which the server counts as full after it rejected a part.
     pub(crate) full_until: Millis,
-    /// Length of the last ejection; 0 once the server has answered.
+    /// Length of the last ejection, or of the last time for which the server counted as full; 0 once the
+    /// server has answered.
     pub(crate) ejection: Millis,
-    /// Whether the server fell silent and has not responded since.
+    /// Whether the server timed out or became unreachable, and has not answered since.
     pub(crate) is_silent: bool,
     /// Start of the server's process, while it is cold.
     pub(crate) cold_since: Option<Millis>,
@@ -121,16 +122,18 @@
     pub(crate) first_answer_whole: Option<bool>,
     /// Time at which the first answer of a class with a second step was given.
     pub(crate) first_answered_at: Millis,
-    /// Time until the slowest part's answer, as forecast on arrival.
+    /// Time until the answer, as forecast on arrival from the mean and the slowest part; 0 if it was refused
+    /// then.
     pub(crate) forecast: Millis,
-    /// Share of the forecast that this aggregator itself needs, for the work that it had at that time.
+    /// Part of the forecast, in milliseconds, that this aggregator itself needs for the work that it had at
+    /// that time.
     pub(crate) overhead: Millis,
     /// Attempts that lost their connection, and those of them whose server has been silent since.
     pub(crate) lost_connections: usize,
     pub(crate) lost_to_silent: usize,
     pub(crate) part_index: PartIndex,
     pub(crate) totals: PartTotals,
-    /// Time of the next visit.
+    /// Time by which the query has to be visited next; not after the current time means the next turn.
     pub(crate) due_at: Millis,
 }
 
@@ -216,9 +219,13 @@
 /// State of the width controller of one class.
 #[derive(Clone, Default)]
 pub(crate) struct Width {
+    /// Number of rows that a query uses; the fraction is the probability of one more.
     pub(crate) rows: f64,
+    /// Number of attempts in this second that were served, rejected as full or timed out; and of those that
+    /// were rejected, or timed out without an answer to an attempt sent at the same time or later.
     pub(crate) ended: u32,
     pub(crate) bad: u32,
+    /// Relative error of the last second with such attempts.
     pub(crate) last_error: f64,
 }
 
--- a/crates/core/src/index_table.rs
+++ b/crates/core/src/index_table.rs
@@ -1,9 +1,10 @@
 //! Assignment of classes and tenants to indices when the settings change.
 //!
-//! A query keeps the index of its class until it ends, and the rules at that index apply to it. An entry
-//! therefore never changes while it is in use: a class whose settings change moves to another index, and a
-//! removed class keeps its index until it has had no queries for a long time. A tenant keeps its index as
-//! long as the settings name it, and a removed tenant keeps its settings for its open queries.
+//! A query keeps the index of its class until it ends, and the rules at that index apply to it. The entry of
+//! a class therefore never changes while it is in use: a class whose settings change moves to another index,
+//! and a removed class keeps its index until it has no open queries and was removed at least `RETENTION` ago.
+//! A tenant keeps its index as long as the settings name it, and its entry takes the new settings; a removed
+//! tenant keeps its settings for its open queries.
 
 use brookbend::NewClass;
 use brookbend::api::{Class, ClassIndex, Settings, Tenant};
@@ -67,7 +68,7 @@
 pub struct IndexedSettings {
     /// Settings for the decision module.
     pub settings: Settings,
-    /// Names that requests may use.
+    /// Names of all classes and tenants, and the indices of the removed ones, which new requests may not use.
     pub names: Names,
     /// Indices of new tenants. A removed tenant may have had such an index before.
     pub new_tenants: Vec<usize>,
@@ -211,8 +212,8 @@
         }
     }
 
-    /// Returns the time at which the next removed class may have become unused; `None` if there is no such
-    /// class.
+    /// Returns the time at which the next removed class may have become unused, at least a second after
+    /// `now`; `None` if no removed class is in use.
     pub(crate) fn next_retention_check(&self, now: Micros) -> Option<Micros> {
         let in_use = self.classes.iter().filter(|e| !e.is_unused(now)).filter_map(|e| e.removed_at);
         in_use.min().map(|at| (at + RETENTION).max(now + RETENTION / 30))
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,9 +2,9 @@
 //! carries out the returned decisions.
 //!
 //! The facade is independent of protocols. It identifies queries, parts and servers by numbers and names, so
-//! every front uses the same decisions and rules. Only this package uses the events and actions of the
-//! decision module, and only this package counts open queries: a query is opened in [`Core::pick`] and closed
-//! by its single [`Completion`] or by [`Core::client_gone`].
+//! every protocol front end uses the same decisions and rules. Only this package uses the events and actions
+//! of the decision module, and only this package counts open queries: a query is opened in [`Core::pick`] and
+//! closed by its single [`Completion`] or by [`Core::client_gone`].
 
 mod index_table;
 
@@ -133,7 +133,7 @@
 struct OpenQuery {
     class: usize,
     tenant: usize,
-    /// Time after which an attempt is cancelled.
+    /// Longest time in microseconds that an attempt may take; `Micros::MAX` if there is no limit.
     attempt_timeout: Micros,
     /// Number of attempts dispatched so far, by part. The decision module numbers attempts only by their
     /// order.
@@ -158,6 +158,7 @@
     deadlines: BTreeSet<(Micros, QueryId)>,
     /// Events to pass to the decision module in the next call.
     staged: Vec<Event>,
+    /// Time at which the decision module asked to be woken.
     wake_at: Option<Micros>,
     index_table: IndexTable,
     /// Time by which all queries must be finished because the process ends; `Micros::MAX` until that is set.
@@ -294,8 +295,8 @@
         Settings { aggregators, ..self.settings.clone() }
     }
 
-    /// Returns the learned state of servers and classes for a successor process. `rev` is the version of the
-    /// list.
+    /// Returns the learned state of servers and classes for a successor process. `rev` is the revision of the
+    /// server list.
     pub fn snapshot(&self, now: Micros, rev: u64) -> Snapshot {
         let mut snapshot = self.aggregator.snapshot(to_ms(now));
         snapshot.rev = rev;
@@ -344,8 +345,8 @@
         }
     }
 
-    /// Omits a part of a query because no attempt at it can be sent any more. This takes effect with the next
-    /// call of [`Core::pick`], [`Core::report`] or [`Core::tick`].
+    /// Marks a part of a query as unreachable because no attempt at it can be sent any more. This takes
+    /// effect with the next call of [`Core::pick`], [`Core::report`] or [`Core::tick`].
     pub fn omit_part(&mut self, query: QueryId, part: usize) {
         if self.open.contains_key(&query) {
             self.staged.push(Event::Unreachable(part_id(query, part)));
@@ -583,8 +584,7 @@
     }
 }
 
-/// Converts microseconds to the milliseconds of the decision module. No other function converts times to
-/// milliseconds.
+/// Converts microseconds to the milliseconds of the decision module.
 fn to_ms(time: Micros) -> f64 {
     time as f64 / MILLI as f64
 }
